--- a/bench/binding_world.cc
+++ b/bench/binding_world.cc
@@ -44,7 +44,7 @@
   core.heartbeat_interval = options.heartbeat_interval;
   core.lease = {45};
   core.headroom = 0;
-  core.idle = {1e9};  // the fleet stays as it is
+  core.idle_timeout = {1e9};  // the fleet stays as it is
   core.writes_per_s = options.writes_per_s;
   return core;
 }
@@ -58,7 +58,7 @@
     worker.agent.addr = "127.0.0.1:10000";
     worker.agent.type = "plain";
     worker.agent.zone = kZones[i % std::size(kZones)];
-    worker.agent.room = {2.0 * kRoomForMore * options_.tasks_each, 0, 1e6};
+    worker.agent.capacity = {2.0 * kRoomForMore * options_.tasks_each, 0, 1e6};
     worker.agent.cache_gb = 1e6;
     worker.agent.heartbeat_interval = options_.heartbeat_interval;
     worker.agent.lease = {45};
@@ -210,7 +210,7 @@
   result_.steps["make command"].bytes += body.size();
   Record(testing::DecisionKind::kCommand, direct_command.machine.value, body);
   const std::size_t worker = IndexOf(direct_command.machine);
-  const agent::DirectAnswer answer = workers_[worker]->OnDirect(
+  const agent::DirectCommandReply answer = workers_[worker]->OnDirectCommand(
       direct_command.token, direct_command.agent_epoch, direct_command.commands, now_);
   const std::string text = protocol::HeartbeatToJson(answer.heartbeat).dump();
   const magpie::Heartbeat parsed = Measure("parse command's answer", [&] {
@@ -288,7 +288,7 @@
 void ChurnWorld::TakeOver() {
   for (const auto& [key, text] : store_) {
     result_.stored_bytes += key.size() + text.size();
-    ++(key.starts_with(records::kJobs) ? result_.jobs : result_.pages);
+    ++(key.starts_with(records::kJobPrefix) ? result_.jobs : result_.pages);
   }
   core_.reset();
   core_ = std::make_unique<Scheduler>(CoreOptions(options_), Autoscaler::Options{});
--- a/src/admission/submission_batcher.cc
+++ b/src/admission/submission_batcher.cc
@@ -23,7 +23,7 @@
     : store_(store),
       options_(options),
       hooks_(std::move(hooks)),
-      pace_(options.pace),
+      pace_(options.rate_limit),
       backoff_(kFirstPause, kMaxPause) {}
 
 SubmissionBatcher::Submission::Submission(const JobSpec& spec, Instant deadline)
@@ -147,7 +147,7 @@
 
 void SubmissionBatcher::ApplyResult(const Batch& batch, const BatchResult& result) {
   const TransactionResult& transaction = result.transaction;
-  for (std::size_t i = 0; i < result.found; ++i) End(*batch[i], Status::kKnown);
+  for (std::size_t i = 0; i < result.found; ++i) End(*batch[i], Status::kAlreadyExists);
   if (transaction.status == StoreStatus::kOk) backoff_.Reset();
   // Those that have not ended wait again, before all others.
   for (auto it = batch.rbegin(); it != batch.rend(); ++it) {
@@ -169,7 +169,7 @@
   if (result.status == StoreStatus::kOk) End(submission, Status::kAccepted);
   if (conflict &&
       (alone || failed(records::JobKey(submission.id)) || failed(records::FinalKey(submission.id))))
-    End(submission, Status::kKnown);
+    End(submission, Status::kAlreadyExists);
   if (malformed && alone) End(submission, Status::kMalformed);
   // Of a batch that failed for an unknown one of its jobs, each is tried alone.
   submission.in_own_batch |= malformed || (conflict && result.failed.empty());
--- a/src/admission/submission_batcher.h
+++ b/src/admission/submission_batcher.h
@@ -27,9 +27,9 @@
  public:
   enum class Status : std::uint8_t {
     kAccepted,
-    kKnown,        // there is a record of the job already
-    kMalformed,    // the key-value store does not take its record
-    kUnavailable,  // not accepted now
+    kAlreadyExists,  // there is a record of the job already
+    kMalformed,      // the key-value store does not take its record
+    kUnavailable,    // not accepted now
   };
   struct Result {
     Status status = Status::kUnavailable;
@@ -38,8 +38,8 @@
   struct Options {
     std::size_t max_jobs = 16;  // in one transaction
     std::size_t max_bytes = 48UL * 1024;
-    Seconds patience{1};                                // nobody waits much longer than this
-    AdaptiveRateLimiter::Options pace{.maximum = 1e9};  // of the changes of all jobs
+    Seconds patience{1};                                      // nobody waits much longer than this
+    AdaptiveRateLimiter::Options rate_limit{.maximum = 1e9};  // of the changes of all jobs
   };
   struct Hooks {
     std::function<Instant()> now;
--- a/src/agent/worker.cc
+++ b/src/agent/worker.cc
@@ -72,7 +72,7 @@
   return Outgoing{options_.nodes[reporting_.node], MakeHeartbeat()};
 }
 
-Instant Worker::Wake() const {
+Instant Worker::NextWakeup() const {
   const Instant lease = lease_start_ + options_.lease;
   if (reporting_.in_flight) return lease;
   return std::min(lease, reporting_.changed ? reporting_.not_before
@@ -130,9 +130,9 @@
   MarkChanged();
 }
 
-DirectAnswer Worker::OnDirect(std::optional<FencingToken> token,
-                              std::optional<std::uint64_t> agent_epoch,
-                              const std::vector<Command>& commands, Instant now) {
+DirectCommandReply Worker::OnDirectCommand(std::optional<FencingToken> token,
+                                           std::optional<std::uint64_t> agent_epoch,
+                                           const std::vector<Command>& commands, Instant now) {
   CheckLease(now);
   if (!token || !agent_epoch) return {kBadRequest, MakeHeartbeat()};
   if (*token < state_.token || *agent_epoch != state_.agent_epoch)
@@ -183,7 +183,7 @@
   const AttemptKey key{command.task, command.attempt};
   if (runs_.contains(key)) return;  // in whatever state
   const auto same = [&](const auto& entry) {
-    const bool refused = entry.second.reason == ExitReason::kNoRoom ||
+    const bool refused = entry.second.reason == ExitReason::kInsufficientCapacity ||
                          entry.second.reason == ExitReason::kBusy ||
                          entry.second.reason == ExitReason::kUnknown;
     return entry.first.task == command.task && !refused;
@@ -196,17 +196,17 @@
     EndTask(run, ExitReason::kBusy);
     return;
   }
-  AddEffect(Effect::Kind::kDescribe, key);
+  AddEffect(Effect::Kind::kReadDescription, key);
 }
 
-void Worker::OnDescription(const JobId& job, const std::optional<Description>& description) {
+void Worker::OnDescription(const JobId& job, const std::optional<JobDescription>& description) {
   for (auto& [key, run] : runs_) {
     if (key.task.job != job || run.state != RunState::kAwaitingDescription) continue;
     MarkChanged();
     if (!description) {
       EndTask(run, ExitReason::kUnknown);
     } else if (!HasCapacityFor(description->per_task)) {
-      EndTask(run, ExitReason::kNoRoom);
+      EndTask(run, ExitReason::kInsufficientCapacity);
     } else {
       run.description = *description;
       run.state = RunState::kFetching;
@@ -217,7 +217,7 @@
 }
 
 bool Worker::HasCapacityFor(const Resources& per_task) const {
-  Resources available = options_.room;
+  Resources available = options_.capacity;
   for (const auto* runs : {&runs_, &dying_})
     for (const auto& [key, run] : *runs)
       if (run.state != RunState::kEnded) available -= run.description.per_task;
@@ -225,7 +225,7 @@
 }
 
 // One fetch serves all tasks that wait for the image.
-void Worker::RequestImage(const Description& description) {
+void Worker::RequestImage(const JobDescription& description) {
   const auto [it, fresh] = images_.try_emplace(description.image);
   it->second.last_use = ++image_uses_;
   if (!fresh) return;
@@ -260,7 +260,7 @@
         oldest = it;
     if (oldest == images_.end()) return;
     total_gb -= oldest->second.gb;
-    AddImageEffect(Effect::Kind::kDropImage, oldest->first);
+    AddImageEffect(Effect::Kind::kEvictImage, oldest->first);
     images_.erase(oldest);
   }
 }
@@ -268,7 +268,7 @@
 void Worker::CancelUnusedFetch(const std::string& image) {
   const auto it = images_.find(image);
   if (it == images_.end() || it->second.cached || IsImageInUse(image)) return;
-  AddImageEffect(Effect::Kind::kGiveUp, image);
+  AddImageEffect(Effect::Kind::kCancelFetch, image);
   images_.erase(it);
 }
 
@@ -336,7 +336,7 @@
 void Worker::ForgetTask(const Command& command) {
   const auto it = runs_.find({command.task, command.attempt});
   if (it == runs_.end() || it->second.state != RunState::kEnded) return;
-  AddEffect(Effect::Kind::kDiscard, it->first);
+  AddEffect(Effect::Kind::kDiscardTaskData, it->first);
   runs_.erase(it);
   MarkChanged();
 }
--- a/src/agent/worker.h
+++ b/src/agent/worker.h
@@ -21,7 +21,7 @@
 namespace magpie::agent {
 
 // What a worker must know of a job to run its tasks.
-struct Description {
+struct JobDescription {
   Resources per_task;
   std::string image;
   double image_gb = 0;
@@ -35,15 +35,15 @@
 // Something for the agent to do. Effects on the same task must be carried out in order.
 struct Effect {
   enum class Kind : std::uint8_t {
-    kDescribe,   // read the job's description; OnDescription
-    kFetch,      // fetch the image; OnImage
-    kGiveUp,     // stop fetching the image: no task waits for it
-    kDropImage,  // the cache has no room for it
-    kStart,      // start the process; OnExit when it is certainly dead
-    kSave,       // have it save and exit; OnExit
-    kKill,       // end it at once; OnExit
-    kDiscard,    // what is kept of an exited task may go, but for its result
-  } kind = Kind::kDescribe;
+    kReadDescription,  // read the job's description; OnDescription
+    kFetch,            // fetch the image; OnImage
+    kCancelFetch,      // stop fetching the image: no task waits for it
+    kEvictImage,       // the cache has no room for it
+    kStart,            // start the process; OnExit when it is certainly dead
+    kSave,             // have it save and exit; OnExit
+    kKill,             // end it at once; OnExit
+    kDiscardTaskData,  // what is kept of an exited task may go, but for its result
+  } kind = Kind::kReadDescription;
   TaskId task;
   Attempt attempt;
   std::string image;
@@ -62,7 +62,7 @@
 };
 
 // The answer to a direct command: 200, 409 or 400, and the worker's heartbeat.
-struct DirectAnswer {
+struct DirectCommandReply {
   int status = 200;
   Heartbeat heartbeat;
 };
@@ -76,7 +76,7 @@
     std::string type;
     std::string zone;
     bool spot = false;
-    Resources room;       // what the machine has
+    Resources capacity;   // what the machine has
     double cache_gb = 0;  // for images
     Seconds heartbeat_interval{3};
     Seconds lease{30};
@@ -103,11 +103,12 @@
   std::optional<Outgoing> NextHeartbeat(Instant now);
   void OnAnswer(const Answer& answer, Instant now);
   // When NextHeartbeat or CheckLease should be called next, at the latest.
-  Instant Wake() const;
+  Instant NextWakeup() const;
 
   // --- direct commands
-  DirectAnswer OnDirect(std::optional<FencingToken> token, std::optional<std::uint64_t> agent_epoch,
-                        const std::vector<Command>& commands, Instant now);
+  DirectCommandReply OnDirectCommand(std::optional<FencingToken> token,
+                                     std::optional<std::uint64_t> agent_epoch,
+                                     const std::vector<Command>& commands, Instant now);
   Heartbeat Inspect();
 
   // --- the machine
@@ -116,7 +117,7 @@
   // `remaining`: until the cloud takes the machine back; nullopt: there is no notice.
   void OnPreemptionNotice(std::optional<Seconds> remaining);
   // `description` is nullopt if there is no such job.
-  void OnDescription(const JobId& job, const std::optional<Description>& description);
+  void OnDescription(const JobId& job, const std::optional<JobDescription>& description);
   void OnImage(const std::string& image, bool fetched);
   void OnExit(const TaskId& task, Attempt attempt, Outcome outcome);
   // The effects asked for since the last call.
@@ -140,7 +141,7 @@
     bool save_requested = false;  // before it was killed
     ExitReason reason = ExitReason::kNone;
     bool saved = false;
-    Description description;
+    JobDescription description;
   };
   struct AttemptKey {
     TaskId task;
@@ -178,7 +179,7 @@
   void AddImageEffect(Effect::Kind kind, const std::string& image);
   void EndTask(TaskRun& run, ExitReason reason, bool saved = false);
   void StartProcess(const AttemptKey& key, TaskRun& run);
-  void RequestImage(const Description& description);
+  void RequestImage(const JobDescription& description);
   void CancelUnusedFetch(const std::string& image);
   void EvictImages();
   bool IsImageInUse(const std::string& image) const;
--- a/src/cancellation/cancellation_broadcaster.cc
+++ b/src/cancellation/cancellation_broadcaster.cc
@@ -25,7 +25,7 @@
   std::scoped_lock lock(mutex_);
   Recipients recipients;
   std::vector<std::string> last;
-  for (const std::string& member : options_.others) {
+  for (const std::string& member : options_.peers) {
     const auto failure = last_failures_.find(member);
     if (failure == last_failures_.end())
       recipients.members.push_back(member);
@@ -53,7 +53,7 @@
     else
       last_failures_[member] = hooks_.now();
   }
-  if (options_.only_when_final) return false;
+  if (options_.acknowledge_only_when_final) return false;
   return all_acknowledged || IsDisabled(SafetyCheck::kAllControllersAcknowledged);
 }
 
--- a/src/cancellation/cancellation_broadcaster.h
+++ b/src/cancellation/cancellation_broadcaster.h
@@ -33,9 +33,9 @@
     std::function<bool(const JobId& job, Revision revision)> record;
   };
   struct Options {
-    std::vector<std::string> others;  // all other members
+    std::vector<std::string> peers;  // all other members
     // A lease can outlast the time limit of cancellations, so that (a) does not suffice.
-    bool only_when_final = false;
+    bool acknowledge_only_when_final = false;
   };
   // Whether the time within which a cancelled job's tasks must be gone (`cancel`) leaves room for
   // a worker's lease and for the messages that may be on their way.
--- a/src/cancellation/cancellation_registry.cc
+++ b/src/cancellation/cancellation_registry.cc
@@ -62,7 +62,7 @@
 std::optional<HeartbeatResponse> CancellationRegistry::CompleteResponse(
     const Heartbeat& heartbeat, HeartbeatResponse response) {
   if (!Loaded() && !IsDisabled(SafetyCheck::kJobsReadBeforeRenewal)) return std::nullopt;
-  if (!IsDisabled(SafetyCheck::kResponseScreen)) RemoveCancelledStarts(response.commands);
+  if (!IsDisabled(SafetyCheck::kResponseFilter)) RemoveCancelledStarts(response.commands);
   if (IsDisabled(SafetyCheck::kStopInResponse)) return response;
   for (const TaskStatus& task : heartbeat.tasks) {
     if (task.state == TaskState::kEnded || !cache_.IsCancelled(task.task.job)) continue;
@@ -83,7 +83,7 @@
 }
 
 void CancellationRegistry::RemoveCancelledStarts(DirectCommand& direct_command) const {
-  if (!IsDisabled(SafetyCheck::kCommandScreen)) RemoveCancelledStarts(direct_command.commands);
+  if (!IsDisabled(SafetyCheck::kCommandFilter)) RemoveCancelledStarts(direct_command.commands);
 }
 
 void CancellationRegistry::RemoveCancelledStarts(std::vector<Command>& commands) const {
--- a/src/controller/cloud_loop.cc
+++ b/src/controller/cloud_loop.cc
@@ -68,7 +68,7 @@
 }
 
 StepResult CloudLoop::Provision(const CloudCall& call) {
-  const ProvisionResult result = cloud_.Provision(call.order);
+  const ProvisionResult result = cloud_.Provision(call.scale_out);
   {
     std::scoped_lock lock(state_.mutex());
     switch (result.status) {
@@ -85,8 +85,8 @@
     }
   }
   spdlog::info("machines provisioned requested={} provisioned={} type={} zone={} spot={}",
-               call.order.count, result.machines.size(), call.order.kind.type, call.order.kind.zone,
-               call.order.kind.spot);
+               call.scale_out.count, result.machines.size(), call.scale_out.kind.type,
+               call.scale_out.kind.zone, call.scale_out.kind.spot);
   return ResultOf(result.status);
 }
 
--- a/src/controller/control_key_watcher.cc
+++ b/src/controller/control_key_watcher.cc
@@ -18,11 +18,11 @@
 
 StepResult ControlKeyWatcher::WatchOnce() {
   if (watched_to_.value == 0) {
-    const RangeResult range = store_.Range(records::kControl, "", 1);
+    const RangeResult range = store_.Range(records::kControlPrefix, "", 1);
     if (range.status != StoreStatus::kOk) return StepResult::kFailed;
     watched_to_ = range.revision;
   }
-  const WatchResult watch = store_.Watch(records::kControl, watched_to_, kMaxWatchBlock);
+  const WatchResult watch = store_.Watch(records::kControlPrefix, watched_to_, kMaxWatchBlock);
   if (watch.status != StoreStatus::kOk || watch.too_old) {
     watched_to_ = {};
     return StepResult::kFailed;
--- a/src/controller/control_key_watcher.h
+++ b/src/controller/control_key_watcher.h
@@ -10,7 +10,7 @@
 
 namespace magpie {
 
-// Calls `on_change` whenever a control key (records::kControl) has changed.
+// Calls `on_change` whenever a control key (records::kControlPrefix) has changed.
 class ControlKeyWatcher {
  public:
   ControlKeyWatcher(KeyValueStore& store, std::function<void()> on_change);
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -56,7 +56,7 @@
                    UserServerLimits(settings)),
       peer_server_([this](const HttpRequest& request) { return peer_api_.Handle(request); },
                    PeerServerLimits()) {
-  if (BroadcasterOptions(settings).only_when_final)
+  if (BroadcasterOptions(settings).acknowledge_only_when_final)
     spdlog::warn(
         "cancellations reported when final only reason=\"cluster.workers.cancel_s is hardly more "
         "than lease_s\"");
@@ -65,7 +65,7 @@
 LeaderState::Options Controller::LeaderStateOptions() {
   return {settings_.label,
           SchedulerOptions(settings_),
-          {settings_.refused_pause, settings_.max_per_request},
+          {settings_.provision_retry_delay, settings_.max_per_request},
           settings_.heartbeat_interval,
           [this] { heartbeat_handler_.OnLeaderChanged(); }};
 }
@@ -103,7 +103,7 @@
 void Controller::OnCancellation(const JobCache::Cancellation& cancellation) {
   std::scoped_lock lock(state_.mutex());
   if (!state_.scheduler().leading()) return;
-  state_.scheduler().Cancelled(cancellation.job, cancellation.revision);
+  state_.scheduler().OnCancelled(cancellation.job, cancellation.revision);
   state_.NotifyCommandThreads();
   state_.RequestPlanningIfWanted();
 }
--- a/src/controller/controller_options.cc
+++ b/src/controller/controller_options.cc
@@ -33,16 +33,16 @@
   options.objectives = settings.objectives;
   options.heartbeat_interval = settings.heartbeat_interval;
   options.lease = settings.lease;
-  options.cancel = settings.cancel;
+  options.cancel_deadline = settings.cancel;
   options.list_lag = settings.list_lag;
   options.max_operations = settings.txn_ops;
   options.max_page_bytes = std::min(
       options.max_bytes, static_cast<std::size_t>(kMaxValueFill * kBytesOfKb * settings.value_kb));
   options.weights = settings.weights;
-  options.idle = settings.idle;
+  options.idle_timeout = settings.idle;
   options.heartbeat_timeout = settings.heartbeat_timeout;
-  options.list_every = settings.list_every;
-  options.boot_patience = settings.boot_patience;
+  options.list_interval = settings.list_interval;
+  options.boot_timeout_factor = settings.boot_timeout_factor;
   options.headroom = settings.headroom;
   options.headroom_duration = settings.headroom_duration;
   options.writes_per_s = kLeaderWriteShare * settings.write_rps;
@@ -57,8 +57,8 @@
 SubmissionBatcher::Options SubmissionOptions(const Settings& settings) {
   SubmissionBatcher::Options options;
   options.max_jobs = settings.txn_ops;
-  options.pace.maximum = settings.write_rps;
-  options.pace.initial = std::min(1.0, 2 / static_cast<double>(settings.others.size() + 1));
+  options.rate_limit.maximum = settings.write_rps;
+  options.rate_limit.initial = std::min(1.0, 2 / static_cast<double>(settings.others.size() + 1));
   return options;
 }
 
@@ -70,8 +70,8 @@
 
 CancellationBroadcaster::Options BroadcasterOptions(const Settings& settings) {
   CancellationBroadcaster::Options options;
-  for (const Member& member : settings.others) options.others.push_back(member.label);
-  options.only_when_final =
+  for (const Member& member : settings.others) options.peers.push_back(member.label);
+  options.acknowledge_only_when_final =
       !CancellationBroadcaster::AllowsEarlyAcknowledgement(settings.lease, settings.cancel);
   return options;
 }
--- a/src/controller/job_api.cc
+++ b/src/controller/job_api.cc
@@ -31,7 +31,7 @@
 
 // Without the counts of tasks.
 HttpResponse StateOnly(int status, const JobId& id, const char* state) {
-  return {status, protocol::JobAnswerToJson({id, state, 0, 0}, false).dump()};
+  return {status, protocol::JobStatusReplyToJson({id, state, 0, 0}, false).dump()};
 }
 
 const char* FinalState(const records::FinalRecord& record) {
@@ -99,7 +99,7 @@
 }
 
 HttpResponse JobApi::StateResponse(const JobId& id, const Lookup& lookup) {
-  protocol::JobAnswer answer{id, protocol::kQueued, 0, 0};
+  protocol::JobStatusReply answer{id, protocol::kQueued, 0, 0};
   switch (lookup.status) {
     case JobStatus::kUnknown:
       return ErrorResponse(404, kNoSuchJob);
@@ -121,7 +121,7 @@
       break;
     }
   }
-  return {200, protocol::JobAnswerToJson(answer, true).dump()};
+  return {200, protocol::JobStatusReplyToJson(answer, true).dump()};
 }
 
 HttpResponse JobApi::Query(const std::string& text) {
@@ -173,7 +173,7 @@
   switch (result.status) {
     case SubmissionBatcher::Status::kAccepted:
       return StateOnly(201, spec.id, protocol::kQueued);
-    case SubmissionBatcher::Status::kKnown:
+    case SubmissionBatcher::Status::kAlreadyExists:
       return StateResponse(spec.id, Find(spec.id));
     case SubmissionBatcher::Status::kMalformed:
       return Unavailable("the record was refused");
@@ -221,16 +221,16 @@
 
 std::optional<HttpResponse> JobApi::CancelLive(const JobId& id, StoreEntry entry, Instant until,
                                                Backoff& backoff) {
-  const bool stopping = entry.value.value(records::kStopping, false) ||
+  const bool stopping = entry.value.value(records::kStoppingField, false) ||
                         IsDisabled(SafetyCheck::kStoppingBeforeAcknowledged);
-  if (!stopping && !MarkRecord(id, entry, records::kStopping, backoff)) return std::nullopt;
+  if (!stopping && !MarkRecord(id, entry, records::kStoppingField, backoff)) return std::nullopt;
   // The user waits no longer and repeats the request, which then has less to do.
   if (hooks_.now() >= until) return Unavailable(kStoreUnavailable);
   // The cancellation is durable before it is announced: a controller that ends after it has
   // acknowledged it, and is restarted, then finds it when it loads the jobs.
   if (!hooks_.broadcast_cancellation(id, entry.revision))
     return Unavailable("not every controller knows of it yet: its tasks are being stopped");
-  if (!MarkRecord(id, entry, records::kCancelled, backoff)) return std::nullopt;
+  if (!MarkRecord(id, entry, records::kCancelledField, backoff)) return std::nullopt;
   spdlog::debug("cancellation acknowledged job={}", id.value);
   return StateOnly(200, id, protocol::kCancelled);
 }
--- a/src/controller/job_router.cc
+++ b/src/controller/job_router.cc
@@ -19,7 +19,7 @@
     const std::string rest = path.substr(jobs_path.size() + 1);
     const auto slash = rest.find('/');
     if (slash == std::string::npos) return get ? jobs_.Query(rest) : UseMethod("GET");
-    if (rest.substr(slash + 1) == protocol::kCancelEnd)
+    if (rest.substr(slash + 1) == protocol::kCancelSuffix)
       return post ? jobs_.Cancel(rest.substr(0, slash)) : UseMethod("POST");
   }
   return ErrorResponse(404, "no such path");
--- a/src/controller/peer_api.cc
+++ b/src/controller/peer_api.cc
@@ -52,7 +52,7 @@
   {
     std::scoped_lock lock(state_.mutex());
     if (!state_.scheduler().loaded()) return EmptyResponse(503);
-    progress = state_.scheduler().AllProgress();
+    progress = state_.scheduler().GetAllJobProgress();
   }
   return {200, ProgressCache::ToText(progress)};
 }
--- a/src/controller/planning_loop.cc
+++ b/src/controller/planning_loop.cc
@@ -74,9 +74,10 @@
   FailoverTimeline& timeline = state_.timeline();
   if (timeline.settled()) return std::nullopt;
   const ReconciliationProgress reconciliation = state_.scheduler().GetReconciliationProgress();
-  if (reconciliation.orders > 0) timeline.Record(FailoverTimeline::Step::kFirstCommand, now);
+  if (reconciliation.commands_issued > 0)
+    timeline.Record(FailoverTimeline::Step::kFirstCommand, now);
   timeline.OnReconciled(reconciliation.reconciled, reconciliation.machines, now);
-  if (!timeline.At(FailoverTimeline::Step::kMostReconciled) || !reconciliation.quiet)
+  if (!timeline.ElapsedUntil(FailoverTimeline::Step::kMostReconciled) || !reconciliation.idle)
     return std::nullopt;
   timeline.Record(FailoverTimeline::Step::kSettled, now);
   return FailoverLine(options_.label, state_.epoch(), reconciliation, timeline);
--- a/src/controller/progress_cache.cc
+++ b/src/controller/progress_cache.cc
@@ -38,7 +38,7 @@
 std::optional<JobProgress> ProgressCache::Find(const JobId& job) {
   {
     std::scoped_lock lock(state_.mutex());
-    if (state_.scheduler().leading()) return state_.scheduler().Counts(job);
+    if (state_.scheduler().leading()) return state_.scheduler().GetJobProgress(job);
   }
   std::scoped_lock lock(mutex_);
   if (!std::exchange(wanted_, true)) wanted_condition_.notify_one();
--- a/src/controller/settings.cc
+++ b/src/controller/settings.cc
@@ -99,9 +99,9 @@
   Objective objective;
   objective.kind = section.Text("kind");
   objective.job_class = section.OptionalText("class");  // some objectives concern no class
-  objective.within = {section.NumberOr("within_s", 0, 0)};
+  objective.limit = {section.NumberOr("within_s", 0, 0)};
   objective.share = section.NumberOr("share", 0, 0);
-  objective.times = section.NumberOr("times", 0, 1);
+  objective.deadline_factor = section.NumberOr("times", 0, 1);
   return objective;
 }
 
@@ -193,11 +193,11 @@
       {"placement.target_factor", {0.1, 100, number(settings.weights.target_factor)}},
       {"fleet.idle_s", {0, 86400, number(settings.idle.value)}},
       {"fleet.silent_s", {1, 3600, number(settings.heartbeat_timeout.value)}},
-      {"fleet.list_every_s", {0.1, 600, number(settings.list_every.value)}},
-      {"fleet.boot_patience", {1, 100, number(settings.boot_patience)}},
+      {"fleet.list_every_s", {0.1, 600, number(settings.list_interval.value)}},
+      {"fleet.boot_patience", {1, 100, number(settings.boot_timeout_factor)}},
       {"fleet.headroom", {0, 1000, count(settings.headroom)}},
       {"fleet.headroom_for_s", {0, 86400, number(settings.headroom_duration.value)}},
-      {"fleet.refused_pause_s", {0, 3600, number(settings.refused_pause.value)}},
+      {"fleet.refused_pause_s", {0, 3600, number(settings.provision_retry_delay.value)}},
       {"fleet.most_per_order", {1, 50, count(settings.max_per_request)}},
   };
 }
--- a/src/controller/settings.h
+++ b/src/controller/settings.h
@@ -53,13 +53,13 @@
   // The operators' properties, with their defaults.
   Seconds leader_lease{4};
   PlacementWeights weights;
-  Seconds idle{20};               // before an idle machine is released
-  Seconds heartbeat_timeout{12};  // before a silent machine is suspected
-  Seconds list_every{3};          // interval of reading the cloud's machine list
-  double boot_patience = 4;       // multiple of the usual boot time to wait for a machine
+  Seconds idle{20};                // before an idle machine is released
+  Seconds heartbeat_timeout{12};   // before a silent machine is suspected
+  Seconds list_interval{3};        // interval of reading the cloud's machine list
+  double boot_timeout_factor = 4;  // multiple of the usual boot time to wait for a machine
   std::uint32_t headroom = 1;
   Seconds headroom_duration{600};
-  Seconds refused_pause{90};  // after the cloud has refused a request for a kind of machine
+  Seconds provision_retry_delay{90};  // after the cloud has refused a request for a kind of machine
   std::uint32_t max_per_request = 50;  // machines in one request
 };
 
--- a/src/controller/status_lines.cc
+++ b/src/controller/status_lines.cc
@@ -15,7 +15,7 @@
   Json json = Json::object();
   for (const auto& [name, row] : rows)
     json[name] = {{"accepted", row.accepted}, {"started", row.started},
-                  {"done", row.done},         {"withdrawn", row.withdrawn},
+                  {"done", row.done},         {"withdrawn", row.cancelled},
                   {"stopped", row.stopped},   {"open", row.open},
                   {"waiting", row.waiting},   {"oldest_wait_s", std::round(row.oldest_wait.value)}};
   return json;
@@ -41,10 +41,10 @@
   Json line{{"node", leader},
             {"epoch", epoch.value},
             {"machines", reconciliation.machines},
-            {"orders", reconciliation.orders}};
+            {"orders", reconciliation.commands_issued}};
   for (std::size_t i = 0; i < FailoverTimeline::kSteps; ++i) {
     const auto step = static_cast<FailoverTimeline::Step>(i);
-    const auto reached_at = timeline.At(step);
+    const auto reached_at = timeline.ElapsedUntil(step);
     Json& field = line[std::string(FailoverTimeline::NameOf(step)) + "_s"];
     if (reached_at) field = RoundToMilliseconds(*reached_at);
   }
--- a/src/controller/takeover_loop.cc
+++ b/src/controller/takeover_loop.cc
@@ -65,7 +65,7 @@
 TakeoverLoop::LoadResult TakeoverLoop::Load(const Leadership& leadership,
                                             const std::stop_token& stop) {
   Revision first_read;
-  for (const char* prefix : {records::kJobs, records::kBlocks, records::kPages}) {
+  for (const char* prefix : {records::kJobPrefix, records::kBlockPrefix, records::kPagePrefix}) {
     const LoadResult result = LoadPrefix(prefix, leadership);
     if (result.status != LoadStatus::kLoaded) return result;
     if (first_read.value == 0) first_read = result.revision;
@@ -106,9 +106,9 @@
 void TakeoverLoop::LoadEntry(const char* prefix, const StoreEntry& entry) {
   LoadRecord(entry.key, [&] {
     Scheduler& scheduler = state_.scheduler();
-    if (prefix == records::kJobs) {
+    if (prefix == records::kJobPrefix) {
       const records::JobRecord record = records::JobFromJson(entry.value);
-      scheduler.LoadJob(record.spec, record.over(), entry.revision);
+      scheduler.LoadJob(record.spec, record.must_stop(), entry.revision);
     } else if (const auto key = records::ParseRecordPageKey(entry.key)) {
       scheduler.LoadRecordPage(*key, records::RecordPageFromJson(*key, entry.value),
                                entry.revision);
@@ -143,7 +143,7 @@
   Backoff backoff = LoopBackoff();
   const auto leading = [&] { return state_.Holds(leadership); };
   RepeatWhile(stop, backoff, leading, [&] {
-    const WatchResult watch = watch_store_.Watch(records::kJobs, revision, kMaxWatchBlock);
+    const WatchResult watch = watch_store_.Watch(records::kJobPrefix, revision, kMaxWatchBlock);
     if (watch.status != StoreStatus::kOk) return StepResult::kFailed;
     backoff.Reset();
     JobsRead changes{watch.events, watch.revision};
@@ -168,7 +168,7 @@
   JobsRead jobs;
   std::string after;
   for (bool more = true; more;) {
-    const RangeResult range = store_.Range(records::kJobs, after, kRangePageSize);
+    const RangeResult range = store_.Range(records::kJobPrefix, after, kRangePageSize);
     if (range.status != StoreStatus::kOk) {
       if (stop.stop_requested() || !state_.Holds(leadership)) return std::nullopt;
       SleepFor(backoff.Next(ThreadRandom()), stop);
@@ -187,13 +187,13 @@
 void TakeoverLoop::ApplyJobEvent(const WatchEvent& event) {
   Scheduler& scheduler = state_.scheduler();
   if (!event.value) {
-    const std::size_t prefix_length = std::string_view(records::kJobs).size();
+    const std::size_t prefix_length = std::string_view(records::kJobPrefix).size();
     scheduler.OnJobRemoved({event.key.substr(prefix_length)}, event.revision);
     return;
   }
   LoadRecord(event.key, [&] {
     const records::JobRecord record = records::JobFromJson(*event.value);
-    scheduler.LoadJob(record.spec, record.over(), event.revision);
+    scheduler.LoadJob(record.spec, record.must_stop(), event.revision);
   });
 }
 
--- a/src/controller/write_loop.cc
+++ b/src/controller/write_loop.cc
@@ -62,7 +62,7 @@
       break;
     case WriteOutcome::Status::kRejected:
       for (const WriteOutcome::Job& job : outcome.reloaded)
-        scheduler.LoadJob(job.record.spec, job.record.over(), job.revision);
+        scheduler.LoadJob(job.record.spec, job.record.must_stop(), job.revision);
       scheduler.OnWriteRejected(work.batch);
       break;
     case WriteOutcome::Status::kUnknown:  // only when deposed
--- a/src/election/leader_election.cc
+++ b/src/election/leader_election.cc
@@ -64,8 +64,8 @@
 bool LeaderElection::Resign() {
   if (!view_.leadership) return true;
   const TransactionResult result =
-      store_.Commit({{{records::kLeader, view_.leadership->leader}},
-                     {{records::kLeader, std::nullopt, std::nullopt}}});
+      store_.Commit({{{records::kLeaderKey, view_.leadership->leader}},
+                     {{records::kLeaderKey, std::nullopt, std::nullopt}}});
   return result.status == StoreStatus::kOk || result.status == StoreStatus::kConflict;
 }
 
@@ -80,13 +80,13 @@
 }
 
 LeaderElection::RoundResult LeaderElection::RunRound(bool may_campaign) {
-  const RangeResult range = store_.Range(records::kControl, "", kRangePageSize);
+  const RangeResult range = store_.Range(records::kControlPrefix, "", kRangePageSize);
   if (range.status != StoreStatus::kOk) {
     view_.store_reachable = false;
     return RoundResult::kFinished;
   }
-  const StoreEntry* leader = Find(range.entries, records::kLeader);
-  const StoreEntry* epoch = Find(range.entries, records::kEpoch);
+  const StoreEntry* leader = Find(range.entries, records::kLeaderKey);
+  const StoreEntry* epoch = Find(range.entries, records::kEpochKey);
   view_.leader = Field(leader, "label");
   if (epoch != nullptr) view_.epoch = epoch->revision;
   if (HoldsKey(leader)) return ConfirmLeadership(range.entries, *leader);
@@ -103,21 +103,22 @@
 bool LeaderElection::HoldsKey(const StoreEntry* leader) const {
   if (leader == nullptr) return false;
   return Field(leader, "nonce") == nonce_ ||
-         (IsDisabled(SafetyCheck::kNonceOfRun) && Field(leader, "label") == label_);
+         (IsDisabled(SafetyCheck::kNonceMatchesProcess) && Field(leader, "label") == label_);
 }
 
 // The epoch names the revision of the key that it was won with, so that a key that was lost and
 // won again makes a new epoch.
 bool LeaderElection::HasWonEpoch(const StoreEntry* epoch, const StoreEntry& leader) const {
   if (epoch == nullptr) return false;
-  const bool of_this_run = Field(epoch, "nonce") == nonce_ || IsDisabled(SafetyCheck::kNonceOfRun);
+  const bool of_this_run =
+      Field(epoch, "nonce") == nonce_ || IsDisabled(SafetyCheck::kNonceMatchesProcess);
   return of_this_run && (epoch->value.value("key", std::uint64_t{0}) == leader.revision.value ||
-                         IsDisabled(SafetyCheck::kEpochOfKey));
+                         IsDisabled(SafetyCheck::kEpochMatchesKey));
 }
 
 LeaderElection::RoundResult LeaderElection::ConfirmLeadership(
     const std::vector<StoreEntry>& control, const StoreEntry& leader) {
-  const StoreEntry* epoch = Find(control, records::kEpoch);
+  const StoreEntry* epoch = Find(control, records::kEpochKey);
   if (!HasWonEpoch(epoch, leader)) {
     view_.leadership.reset();
     return WriteEpoch(leader, epoch);
@@ -131,16 +132,16 @@
                                                        const StoreEntry* epoch) {
   const Json value{{"leader", label_}, {"nonce", nonce_}, {"key", leader.revision.value}};
   const Transaction transaction{
-      {{records::kLeader, leader.revision}, {records::kEpoch, ExpectedRevision(epoch)}},
-      {{records::kEpoch, value, std::nullopt}}};
+      {{records::kLeaderKey, leader.revision}, {records::kEpochKey, ExpectedRevision(epoch)}},
+      {{records::kEpochKey, value, std::nullopt}}};
   const bool refused = store_.Commit(transaction).status == StoreStatus::kRefused;
   return refused ? RoundResult::kFinished : RoundResult::kReadAgain;
 }
 
 LeaderElection::RoundResult LeaderElection::Campaign(const StoreEntry* leader) {
   const Transaction transaction{
-      {{records::kLeader, ExpectedRevision(leader)}},
-      {{records::kLeader, Json{{"label", label_}, {"nonce", nonce_}}, lease_}}};
+      {{records::kLeaderKey, ExpectedRevision(leader)}},
+      {{records::kLeaderKey, Json{{"label", label_}, {"nonce", nonce_}}, lease_}}};
   const bool refused = store_.Commit(transaction).status == StoreStatus::kRefused;
   return refused ? RoundResult::kFinished : RoundResult::kReadAgain;
 }
--- a/src/failover/failover_timeline.cc
+++ b/src/failover/failover_timeline.cc
@@ -28,7 +28,7 @@
   for (std::size_t i = NumberOf(Step::kElected); i < kSteps; ++i) at_.at(i).reset();
 }
 
-std::optional<Seconds> FailoverTimeline::At(Step step) const {
+std::optional<Seconds> FailoverTimeline::ElapsedUntil(Step step) const {
   const auto& at = at_.at(NumberOf(step));
   if (!at) return std::nullopt;
   return *at - listening_;
--- a/src/failover/failover_timeline.h
+++ b/src/failover/failover_timeline.h
@@ -36,8 +36,8 @@
   // Forgets all steps from kElected on: another term begins, or none.
   void Restart();
   // Time from when the controller listened; none if the step was not reached.
-  std::optional<Seconds> At(Step step) const;
-  bool settled() const { return At(Step::kSettled).has_value(); }
+  std::optional<Seconds> ElapsedUntil(Step step) const;
+  bool settled() const { return ElapsedUntil(Step::kSettled).has_value(); }
 
  private:
   Instant listening_;
--- a/src/failure_attribution/failure_attribution.cc
+++ b/src/failure_attribution/failure_attribution.cc
@@ -16,7 +16,7 @@
 // A task runs well once it has run for so many times its job's longest failure, and a margin.
 constexpr double kRunsWellFactor = 3;
 constexpr Seconds kRunsWellMargin{5};
-constexpr std::uint64_t kManyAttempts = 4;  // without an end: see Recalled
+constexpr std::uint64_t kManyAttempts = 4;  // without an end: see OnAttemptsLoaded
 
 Seconds Doubled(Seconds first, std::uint32_t times, Seconds maximum) {
   constexpr std::uint32_t kMaxDoublings = 10;
@@ -31,7 +31,7 @@
 
 bool FailureAttribution::HasSuspicion(Job job) const {
   const auto it = jobs_.find(job);
-  return it != jobs_.end() && (it->second.failures > 0 || it->second.recalled != kAll);
+  return it != jobs_.end() && (it->second.failures > 0 || it->second.recalled != kUnlimited);
 }
 
 // How many jobs failed on the machine that are not known to be faulty themselves.
@@ -47,8 +47,8 @@
   if (machine.jobs.size() < kMaxKept) machine.jobs.push_back(job);
 }
 
-FailureAttribution::Verdict FailureAttribution::Failed(Job job, const MachineId& machine,
-                                                       Seconds life, Instant now) {
+FailureAttribution::Verdict FailureAttribution::OnTaskFailed(Job job, const MachineId& machine,
+                                                             Seconds life, Instant now) {
   JobState& state = jobs_[job];
   ++state.failures;
   state.longest = std::max(state.longest, life);
@@ -90,7 +90,7 @@
   return verdict;
 }
 
-FailureAttribution::Verdict FailureAttribution::Ended(Job job, const MachineId& machine) {
+FailureAttribution::Verdict FailureAttribution::OnTaskCompleted(Job job, const MachineId& machine) {
   // The machine completes tasks, so jobs that failed there before did so by chance or are faulty
   // themselves.
   if (const auto it = machines_.find(machine); it != machines_.end()) {
@@ -103,15 +103,15 @@
   return RunsWell(job, machine);
 }
 
-FailureAttribution::Verdict FailureAttribution::Ran(Job job, const MachineId& machine,
-                                                    Seconds life) {
+FailureAttribution::Verdict FailureAttribution::OnTaskRunning(Job job, const MachineId& machine,
+                                                              Seconds life) {
   const auto it = jobs_.find(job);
   if (it == jobs_.end() || it->second.well) return {};
   if (life < kRunsWellFactor * it->second.longest + kRunsWellMargin) return {};
   return RunsWell(job, machine);
 }
 
-void FailureAttribution::Recalled(Job job, Attempt maximum) {
+void FailureAttribution::OnAttemptsLoaded(Job job, Attempt maximum) {
   if (maximum.value >= kManyAttempts) jobs_[job].recalled = kMaxTasksOfSuspect;
 }
 
@@ -136,7 +136,7 @@
 
 std::uint32_t FailureAttribution::MaxConcurrentTasks(Job job) const {
   const auto it = jobs_.find(job);
-  if (it == jobs_.end() || it->second.well) return kAll;
+  if (it == jobs_.end() || it->second.well) return kUnlimited;
   const JobState& state = it->second;
   if (state.machines >= kMinMachinesOfFaultyJob) return 1;
   return state.machines + 1 >= kMinMachinesOfFaultyJob ? kMaxTasksOfSuspect : state.recalled;
--- a/src/failure_attribution/failure_attribution.h
+++ b/src/failure_attribution/failure_attribution.h
@@ -28,7 +28,7 @@
 class FailureAttribution {
  public:
   using Job = std::uint32_t;  // a job's serial; never used again
-  static constexpr std::uint32_t kAll = std::numeric_limits<std::uint32_t>::max();
+  static constexpr std::uint32_t kUnlimited = std::numeric_limits<std::uint32_t>::max();
 
   struct Verdict {
     std::vector<MachineId> faulty;     // get no more work
@@ -36,17 +36,17 @@
   };
 
   // A task of the job failed on the machine, `life` after it was seen running.
-  Verdict Failed(Job job, const MachineId& machine, Seconds life, Instant now);
+  Verdict OnTaskFailed(Job job, const MachineId& machine, Seconds life, Instant now);
   // A task of the job was completed on the machine.
-  Verdict Ended(Job job, const MachineId& machine);
+  Verdict OnTaskCompleted(Job job, const MachineId& machine);
   // A task of the job has run on the machine for `life`. Services never end, and arrays may take
   // long: far longer than the job's failures took counts as running well.
-  Verdict Ran(Job job, const MachineId& machine, Seconds life);
-  // Whether Ran could change anything for the job.
+  Verdict OnTaskRunning(Job job, const MachineId& machine, Seconds life);
+  // Whether OnTaskRunning could change anything for the job.
   bool HasSuspicion(Job job) const;
   // By the records at a takeover, a task of the job was bound this often and none is done. If that
   // is often, a few tasks are tried at first.
-  void Recalled(Job job, Attempt maximum);
+  void OnAttemptsLoaded(Job job, Attempt maximum);
   void Forget(Job job);
   void Forget(const MachineId& machine);
   void Clear();
@@ -71,7 +71,7 @@
     Seconds longest;                   // life of what failed
     std::uint32_t rounds = 0;          // of tries since it is taken to be wrong
     Instant not_before;
-    std::uint32_t recalled = kAll;  // tries at once after a takeover
+    std::uint32_t recalled = kUnlimited;  // tries at once after a takeover
   };
   struct MachineState {
     std::vector<Job> jobs;  // different ones that failed there, since a success
--- a/src/load_test/cloud.cc
+++ b/src/load_test/cloud.cc
@@ -37,7 +37,7 @@
 Seconds Cloud::BootTime(const std::string& type) {
   std::uniform_real_distribution<double> spread(1 - options_.boot_spread, 1 + options_.boot_spread);
   for (const MachineType& t : options_.types)
-    if (t.name == type) return spread(random_) * t.boot;
+    if (t.name == type) return spread(random_) * t.boot_time;
   return {};
 }
 
--- a/src/load_test/codec.cc
+++ b/src/load_test/codec.cc
@@ -141,14 +141,14 @@
   Json list = Json::array();
   for (const MachineType& type : types)
     list.push_back({{"name", type.name},
-                    {"cpus", type.room.cpus},
-                    {"gpus", type.room.gpus},
-                    {"ram_gb", type.room.memory_gb},
+                    {"cpus", type.capacity.cpus},
+                    {"gpus", type.capacity.gpus},
+                    {"ram_gb", type.capacity.memory_gb},
                     {"cache_gb", type.cache_gb},
                     {"pull_gb_per_s", type.fetch_gb_per_s},
                     {"rate", type.price},
                     {"low_price", type.spot_price},
-                    {"startup_s", type.boot.value},
+                    {"startup_s", type.boot_time.value},
                     {"roosts", type.zones}});
   return {{"perches", std::move(list)}};
 }
--- a/src/load_test/controller_process.cc
+++ b/src/load_test/controller_process.cc
@@ -103,8 +103,8 @@
         << "\ngpus_max = " << team.gpus_max << "\n";
   for (const Objective& objective : scenario.objectives)
     out << "\n[[cluster.objectives]]\nkind = " << Quoted(objective.kind)
-        << "\nclass = " << Quoted(objective.job_class) << "\nwithin_s = " << objective.within.value
-        << "\nshare = " << objective.share << "\ntimes = " << objective.times << "\n";
+        << "\nclass = " << Quoted(objective.job_class) << "\nwithin_s = " << objective.limit.value
+        << "\nshare = " << objective.share << "\ntimes = " << objective.deadline_factor << "\n";
   out << "\n[cluster.workers]\nreport_s = " << scenario.heartbeat_interval.value
       << "\nlease_s = " << scenario.lease.value
       << "\ngang_wait_s = 40.0\ngang_peer_s = 6.0\ncancel_s = " << scenario.cancel.value << "\n";
--- a/src/load_test/job_ledger.cc
+++ b/src/load_test/job_ledger.cc
@@ -36,8 +36,8 @@
   return it == jobs_.end() ? std::nullopt : std::optional(it->second);
 }
 
-agent::Description DescriptionOf(const JobSpec& spec) {
-  return {spec.per_task, spec.image, spec.image_gb, spec.checkpoint, spec.save};
+agent::JobDescription DescriptionOf(const JobSpec& spec) {
+  return {spec.per_task, spec.image, spec.image_gb, spec.checkpoint_interval, spec.save_duration};
 }
 
 }  // namespace magpie::load_test
--- a/src/load_test/job_ledger.h
+++ b/src/load_test/job_ledger.h
@@ -40,6 +40,6 @@
   std::unordered_map<JobId, SubmittedJob, Hash> jobs_;
 };
 
-agent::Description DescriptionOf(const JobSpec& spec);
+agent::JobDescription DescriptionOf(const JobSpec& spec);
 
 }  // namespace magpie::load_test
--- a/src/load_test/leadership_log.cc
+++ b/src/load_test/leadership_log.cc
@@ -8,7 +8,7 @@
 
 void LeadershipLog::OnCommit(const Transaction& transaction, Instant at) {
   for (const Change& change : transaction.changes) {
-    if (change.key != records::kEpoch || !change.value) continue;
+    if (change.key != records::kEpochKey || !change.value) continue;
     if (const auto started = recorder_.first_start_since()) {
       std::lock_guard lock(mutex_);
       if (!takeovers_.empty()) first_starts_.push_back({takeovers_.back().at, *started});
--- a/src/load_test/networked_worker.cc
+++ b/src/load_test/networked_worker.cc
@@ -52,7 +52,7 @@
               options.agent.nodes.end());
   for (const MachineType& type : site_.types) {
     if (type.name != machine_.type) continue;
-    options.agent.room = type.room;
+    options.agent.capacity = type.capacity;
     options.agent.cache_gb = type.cache_gb;
     options.fetch_gb_per_s = type.fetch_gb_per_s;
   }
@@ -95,8 +95,8 @@
       reply({200, protocol::HeartbeatToJson(worker_->Inspect(now)).dump()});
     } else if (call.target == protocol::kCommandsPath) {
       const DirectCommands direct = DirectFromJson(protocol::ParseObject(call.body));
-      const agent::DirectAnswer answer =
-          worker_->OnDirect(direct.token, direct.agent_epoch, direct.commands, now);
+      const agent::DirectCommandReply answer =
+          worker_->OnDirectCommand(direct.token, direct.agent_epoch, direct.commands, now);
       if (answer.status != 200) ++site_.refusals;
       reply({answer.status, protocol::HeartbeatToJson(answer.heartbeat).dump()});
     } else {
--- a/src/load_test/scenario.cc
+++ b/src/load_test/scenario.cc
@@ -150,13 +150,13 @@
   for (Section type : section.List("types")) {
     MachineType t;
     t.name = type.NeedText("name");
-    t.room = {type.Number("cpus", 8, 0.1, 1e6), type.Number("gpus", 0, 0, 1e6),
-              type.Number("ram_gb", 32, 0.1, 1e6)};
+    t.capacity = {type.Number("cpus", 8, 0.1, 1e6), type.Number("gpus", 0, 0, 1e6),
+                  type.Number("ram_gb", 32, 0.1, 1e6)};
     t.cache_gb = type.Number("cache_gb", 100, 0, 1e6);
     t.fetch_gb_per_s = type.Number("fetch_gb_per_s", 1, 1e-3, 1e6);
     t.price = type.Number("price", 1, 0, 1e6);
     t.spot_price = type.Number("spot_price", t.price, 0, 1e6);
-    t.boot = {type.Number("boot_s", 20, 0.1, kMaxSeconds)};
+    t.boot_time = {type.Number("boot_s", 20, 0.1, kMaxSeconds)};
     t.zones = scenario.zones;
     type.Done();
     cloud.types.push_back(std::move(t));
@@ -239,9 +239,9 @@
     Objective objective;
     objective.kind = section.NeedText("kind");
     objective.job_class = section.NeedText("class");
-    objective.within = {section.Number("within_s", 0, 0, kMaxSeconds)};
+    objective.limit = {section.Number("within_s", 0, 0, kMaxSeconds)};
     objective.share = section.Number("share", 0, 0, 1);
-    objective.times = section.Number("times", 1, 0, 1e3);
+    objective.deadline_factor = section.Number("times", 1, 0, 1e3);
     section.Done();
     scenario.objectives.push_back(std::move(objective));
   }
--- a/src/load_test/simulated_worker.cc
+++ b/src/load_test/simulated_worker.cc
@@ -29,11 +29,12 @@
   CarryOut(now);
 }
 
-agent::DirectAnswer SimulatedWorker::OnDirect(std::optional<FencingToken> token,
-                                              std::optional<std::uint64_t> agent_epoch,
-                                              const std::vector<Command>& commands, Instant now) {
+agent::DirectCommandReply SimulatedWorker::OnDirectCommand(std::optional<FencingToken> token,
+                                                           std::optional<std::uint64_t> agent_epoch,
+                                                           const std::vector<Command>& commands,
+                                                           Instant now) {
   Advance(now);
-  agent::DirectAnswer answer = core_.OnDirect(token, agent_epoch, commands, now);
+  agent::DirectCommandReply answer = core_.OnDirectCommand(token, agent_epoch, commands, now);
   CarryOut(now);
   return answer;
 }
@@ -52,7 +53,7 @@
 }
 
 Instant SimulatedWorker::Wake() const {
-  Instant wake = core_.Wake();
+  Instant wake = core_.NextWakeup();
   for (const auto& [image, at] : fetches_) wake = std::min(wake, at);
   for (const auto& [key, process] : processes_) wake = std::min(wake, process.ends);
   return wake;
@@ -74,13 +75,13 @@
 void SimulatedWorker::CarryOut(const agent::Effect& effect, Instant now) {
   const ProcessKey key{effect.task, effect.attempt};
   switch (effect.kind) {
-    case agent::Effect::Kind::kDescribe:
+    case agent::Effect::Kind::kReadDescription:
       Describe(effect.task);
       break;
     case agent::Effect::Kind::kFetch:
       Fetch(effect, now);
       break;
-    case agent::Effect::Kind::kGiveUp:
+    case agent::Effect::Kind::kCancelFetch:
       fetches_.erase(effect.image);
       break;
     case agent::Effect::Kind::kStart:
@@ -92,8 +93,8 @@
     case agent::Effect::Kind::kKill:
       EndProcess(key, agent::Outcome::kKilled, now);
       break;
-    case agent::Effect::Kind::kDropImage:
-    case agent::Effect::Kind::kDiscard:
+    case agent::Effect::Kind::kEvictImage:
+    case agent::Effect::Kind::kDiscardTaskData:
       break;  // nothing is stored
   }
 }
@@ -123,7 +124,7 @@
   const auto it = processes_.find(key);
   if (it == processes_.end()) return;
   const std::optional<SubmittedJob> job = jobs_.Find(key.first.job);
-  const Instant saved = now + (job ? job->spec.save : Seconds{});
+  const Instant saved = now + (job ? job->spec.save_duration : Seconds{});
   if (it->second.ends <= saved) return;  // it is done before it is saved
   it->second = {saved, agent::Outcome::kSaved};
 }
--- a/src/load_test/simulated_worker.h
+++ b/src/load_test/simulated_worker.h
@@ -47,9 +47,9 @@
   // The report that is due, if none is on its way.
   std::optional<agent::Worker::Outgoing> NextHeartbeat(Instant now);
   void OnAnswer(const agent::Answer& answer, Instant now);
-  agent::DirectAnswer OnDirect(std::optional<FencingToken> token,
-                               std::optional<std::uint64_t> agent_epoch,
-                               const std::vector<Command>& commands, Instant now);
+  agent::DirectCommandReply OnDirectCommand(std::optional<FencingToken> token,
+                                            std::optional<std::uint64_t> agent_epoch,
+                                            const std::vector<Command>& commands, Instant now);
   Heartbeat Inspect(Instant now);
   void OnPreemptionNotice(std::optional<Seconds> left) { core_.OnPreemptionNotice(left); }
   // Carries out what is due: ends of fetches and processes, the lease.
--- a/src/load_test/users.cc
+++ b/src/load_test/users.cc
@@ -152,7 +152,7 @@
 }
 
 void Users::Cancel(const std::shared_ptr<Job>& job) {
-  Ask({"POST", PathOf(job->spec.id) + "/" + protocol::kCancelEnd, "{}"}, kSubmitWait,
+  Ask({"POST", PathOf(job->spec.id) + "/" + protocol::kCancelSuffix, "{}"}, kSubmitWait,
       [this, job](AnsweredState state, Instant sent) {
         recorder_.Record(UserAnswered{job->spec.id, UserRequest::kCancel, state, sent});
         OnAnswer(job, state);
--- a/src/metrics/service_metrics.h
+++ b/src/metrics/service_metrics.h
@@ -20,7 +20,7 @@
     std::uint64_t accepted = 0;   // jobs, those of earlier leaders included
     std::uint64_t started = 0;    // jobs with a task that was seen running
     std::uint64_t done = 0;       // jobs
-    std::uint64_t withdrawn = 0;  // jobs
+    std::uint64_t cancelled = 0;  // jobs
     std::uint64_t stopped = 0;    // tasks told to stop although their jobs go on
     std::uint64_t waiting = 0;    // jobs that are not over, of which nothing runs
     std::uint64_t open = 0;       // jobs that are not over
--- a/src/model/cloud_call.h
+++ b/src/model/cloud_call.h
@@ -27,7 +27,7 @@
 // One call to the cloud.
 struct CloudCall {
   enum class Kind { kList, kProvision, kRelease } kind = Kind::kList;
-  ScaleOutRequest order;           // of kProvision
+  ScaleOutRequest scale_out;       // of kProvision
   std::vector<MachineId> release;  // of kRelease
 };
 
--- a/src/model/job.h
+++ b/src/model/job.h
@@ -37,9 +37,9 @@
   bool single_zone = false;                       // all tasks in the same zone
   bool spread = false;                            // MaxTasksPerZone applies
   bool spot = false;                              // spot machines are allowed
-  Seconds estimate;    // the owner's guess of a task's run time, without the image fetch
-  Seconds checkpoint;  // interval of the checkpoints; 0: a task never saves
-  Seconds save;        // how long a task takes to save when it is stopped
+  Seconds estimate;             // the owner's guess of a task's run time, without the image fetch
+  Seconds checkpoint_interval;  // interval of the checkpoints; 0: a task never saves
+  Seconds save_duration;        // how long a task takes to save when it is stopped
   std::optional<Seconds> deadline;  // after `submitted`
   WallTime submitted;
 };
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -14,12 +14,12 @@
 // A type of machines that the cloud rents.
 struct MachineType {
   std::string name;
-  Resources room;
+  Resources capacity;
   double cache_gb = 0;  // for images
   double fetch_gb_per_s = 0;
   double price = 0;       // per hour
   double spot_price = 0;  // per hour, at present
-  Seconds boot;           // nominal time from the request until the worker reports
+  Seconds boot_time;      // nominal time from the request until the worker reports
   std::vector<std::string> zones;
 };
 
--- a/src/model/objective.h
+++ b/src/model/objective.h
@@ -11,9 +11,9 @@
 struct Objective {
   std::string kind;
   std::string job_class;
-  Seconds within;
+  Seconds limit;
   double share = 0;
-  double times = 1;  // the limit as a multiple of the deadline
+  double deadline_factor = 1;  // the limit as a multiple of the deadline
 };
 
 }  // namespace magpie
--- a/src/model/safety_checks.h
+++ b/src/model/safety_checks.h
@@ -24,44 +24,44 @@
   kSubmitCondition,      // a job is accepted once, and not after it is over
   kFinalAfterUnbound,    // cancelled jobs are final only when no task is bound
   kQuotaUntilDurable,    // the quota of a task that ended is held until that is durable
-  kResultOfUnboundOnly,  // a result of another attempt counts only while none is on a machine
+  kResultOnlyIfUnbound,  // a result of another attempt counts only while none is on a machine
   // --- cancellations
   kStoppingBeforeAcknowledged,  // `stopping` is durable before controllers are told
   kAllControllersAcknowledged,  // before the user is
   kCancelCondition,             // a cancellation can't pass the end of its job
-  kCancellationKept,            // a controller keeps what it was told of
-  kResponseScreen,              // no run of a cancelled job in a reply
-  kCommandScreen,               // nor in a direct command
+  kCancellationStored,          // a controller keeps what it was told of
+  kResponseFilter,              // no run of a cancelled job in a reply
+  kCommandFilter,               // nor in a direct command
   kStopInResponse,              // each reply stops the listed tasks of cancelled jobs
   kJobsReadBeforeRenewal,       // leases are renewed only by controllers that have read the jobs
   kJobsReadBeforeStart,         // the same for starts
   // --- answers to users
-  kReadAfterQuestion,  // a question is answered from a read begun after it
-  kLiveBeforeFinal,    // a job is looked up in j/ first, then in f/
+  kReadAfterRequest,  // a question is answered from a read begun after it
+  kLiveBeforeFinal,   // a job is looked up in j/ first, then in f/
   // --- starts
-  kRunOfDurableOnly,
-  kNoRunWhileStopping,
+  kStartOnlyDurable,
+  kNoStartWhileStopping,
   kQuotaBeforeStart,  // what is held keeps limits and zone rules
   kRewrittenUnbound,  // a binding carried along with other records is written as unbound
   kReadLatestRecord,  // of several records of a task the latest counts
   // --- what a worker's absence of a task proves
   kCommandInFlight,
   kResponseInFlight,
-  kFenceSeen,
+  kFencingTokenSeen,
   kRaiseAfterNoAnswer,   // the token is raised after a command without an answer
   kForgetOnlyIfProven,   // an attempt is forgotten only if no command can start it again
   kHeartbeatOrder,       // older reports are not taken in
   kLaterAgentEpoch,      // a later session proves nothing before our token was seen
-  kEndBeforeOurTerm,     // nor does an end
+  kEndBeforeThisEpoch,   // nor does an end
   kAgentRestarted,       // a worker that lost its numbers is recognized
   kFenceAgentRestarted,  // and gets a token above all earlier ones
   // --- leadership
   kLaterEpochHeartbeat,  // a worker that has seen a later epoch is not commanded
   kLaterEpochCommand,
-  kFollowerRaisesToken,  // a follower that keeps a lease raises the worker's token
-  kCommittedByUs,        // a write found in place is ours only if we still lead
-  kEpochOfKey,           // the epoch was won with the key that stands
-  kNonceOfRun,           // the key is of this run of the process
+  kFollowerRaisesToken,    // a follower that keeps a lease raises the worker's token
+  kCommittedByThisLeader,  // a write found in place is ours only if we still lead
+  kEpochMatchesKey,        // the epoch was won with the key that stands
+  kNonceMatchesProcess,    // the key is of this run of the process
   kCount,
 };
 
--- a/src/model/worker_messages.h
+++ b/src/model/worker_messages.h
@@ -18,13 +18,13 @@
 
 // Why a task is in TaskState::kEnded.
 enum class ExitReason {
-  kNone,     // it has not ended
-  kDone,     // completed
-  kStopped,  // stopped by command
-  kError,    // failed
-  kNoRoom,   // start refused: not enough free resources on the machine
-  kBusy,     // start refused: another attempt of the task is on this machine
-  kUnknown,  // start refused: no such job or task
+  kNone,                  // it has not ended
+  kDone,                  // completed
+  kStopped,               // stopped by command
+  kError,                 // failed
+  kInsufficientCapacity,  // start refused: not enough free resources on the machine
+  kBusy,                  // start refused: another attempt of the task is on this machine
+  kUnknown,               // start refused: no such job or task
 };
 
 // One attempt of a task as its machine's worker sees it.
--- a/src/model/write_batch.h
+++ b/src/model/write_batch.h
@@ -71,7 +71,7 @@
   std::vector<Put> puts;
   std::vector<Drop> drops;
   std::vector<Final> finals;
-  std::map<JobId, Revision> jobs;  // expected revisions of jobs with new records
+  std::map<JobId, Revision> expected_job_revisions;  // expected revisions of jobs with new records
 
   bool empty() const { return puts.empty() && drops.empty() && finals.empty(); }
 };
--- a/src/protocol/cloud_codec.cc
+++ b/src/protocol/cloud_codec.cc
@@ -20,16 +20,16 @@
     CheckObject(message, "perches");
     MachineType type;
     type.name = RequiredText(message, "name");
-    type.room.cpus = RequiredAmount(message, "cpus");
-    type.room.gpus = RequiredAmount(message, "gpus");
-    type.room.memory_gb = RequiredAmount(message, "ram_gb");
+    type.capacity.cpus = RequiredAmount(message, "cpus");
+    type.capacity.gpus = RequiredAmount(message, "gpus");
+    type.capacity.memory_gb = RequiredAmount(message, "ram_gb");
     type.cache_gb = RequiredAmount(message, "cache_gb");
     type.fetch_gb_per_s = RequiredAmount(message, "pull_gb_per_s");
     type.price = RequiredAmount(message, "rate");
     type.spot_price = FindField(message, "low_price") != nullptr
                           ? RequiredAmount(message, "low_price")
                           : type.price;
-    type.boot = {RequiredAmount(message, "startup_s")};
+    type.boot_time = {RequiredAmount(message, "startup_s")};
     for (const Json& zone : RequiredArray(message, "roosts"))
       type.zones.push_back(ToText(zone, "roosts"));
     types.push_back(std::move(type));
--- a/src/protocol/codec.h
+++ b/src/protocol/codec.h
@@ -25,7 +25,7 @@
 
 // Paths of the protocol.
 inline constexpr char kJobsPath[] = "/v2/runs";
-inline constexpr char kCancelEnd[] = "withdraw";
+inline constexpr char kCancelSuffix[] = "withdraw";
 inline constexpr char kHealthPath[] = "/healthz";
 inline constexpr char kHeartbeatPath[] = "/checkin";
 inline constexpr char kCommandsPath[] = "/do";
@@ -44,7 +44,7 @@
 JobSpec JobFromRecord(const Json& record);
 
 // What users are told of a job.
-struct JobAnswer {
+struct JobStatusReply {
   JobId id;
   std::string state;  // one of the words below
   std::uint32_t done = 0;
@@ -55,7 +55,7 @@
 inline constexpr char kDone[] = "done";
 inline constexpr char kCancelled[] = "withdrawn";
 // `counts`: with the numbers of tasks.
-Json JobAnswerToJson(const JobAnswer& answer, bool counts);
+Json JobStatusReplyToJson(const JobStatusReply& answer, bool counts);
 
 // A task id as "j-000412/3".
 std::string TaskIdToText(const TaskId& id);
--- a/src/protocol/job_codec.cc
+++ b/src/protocol/job_codec.cc
@@ -46,8 +46,8 @@
   spec.spread = RequiredBool(message, "apart");
   spec.spot = RequiredBool(message, "borrowed_branches");
   spec.estimate = {RequiredAmount(message, "flight_s")};
-  spec.checkpoint = {RequiredAmount(message, "cache_every_s")};
-  spec.save = {RequiredAmount(message, "stash_s")};
+  spec.checkpoint_interval = {RequiredAmount(message, "cache_every_s")};
+  spec.save_duration = {RequiredAmount(message, "stash_s")};
   if (const Json* deadline = FindField(message, "dusk_s"))
     spec.deadline = Seconds{ToAmount(*deadline, "dusk_s")};
   return spec;
@@ -73,8 +73,8 @@
               {"apart", spec.spread},
               {"borrowed_branches", spec.spot},
               {"flight_s", spec.estimate.value},
-              {"cache_every_s", spec.checkpoint.value},
-              {"stash_s", spec.save.value},
+              {"cache_every_s", spec.checkpoint_interval.value},
+              {"stash_s", spec.save_duration.value},
               {"at", spec.submitted.value}};
   if (spec.types) record["perches"] = *spec.types;
   if (spec.zone) record["roost"] = *spec.zone;
@@ -90,7 +90,7 @@
   return spec;
 }
 
-Json JobAnswerToJson(const JobAnswer& answer, bool counts) {
+Json JobStatusReplyToJson(const JobStatusReply& answer, bool counts) {
   Json message{{"id", answer.id.value}, {"mood", answer.state}};
   if (counts) {
     message["done"] = answer.done;
--- a/src/protocol/worker_codec.cc
+++ b/src/protocol/worker_codec.cc
@@ -13,7 +13,7 @@
                                                       {"ended", TaskState::kEnded}};
 constexpr WordMapping<ExitReason> kExitReasonWords[] = {
     {"done", ExitReason::kDone},   {"halted", ExitReason::kStopped},
-    {"error", ExitReason::kError}, {"full", ExitReason::kNoRoom},
+    {"error", ExitReason::kError}, {"full", ExitReason::kInsufficientCapacity},
     {"busy", ExitReason::kBusy},   {"unknown", ExitReason::kUnknown}};
 constexpr WordMapping<CommandKind> kCommandKindWords[] = {
     {"run", CommandKind::kRun}, {"stop", CommandKind::kStop}, {"forget", CommandKind::kForget}};
--- a/src/provisioning/autoscaler.cc
+++ b/src/provisioning/autoscaler.cc
@@ -11,7 +11,7 @@
 
 void Autoscaler::SetBootTime(const std::string& name, Seconds boot) {
   for (MachineType& type : types_)
-    if (type.name == name) type.boot = boot;
+    if (type.name == name) type.boot_time = boot;
 }
 
 const MachineType* Autoscaler::Find(const std::string& name) const {
@@ -22,7 +22,7 @@
 
 bool Autoscaler::CanEverRun(const JobSpec& spec) const {
   return std::any_of(types_.begin(), types_.end(), [&](const MachineType& type) {
-    if (!spec.per_task.Fits(type.room) || !AllowsType(spec, type.name)) return false;
+    if (!spec.per_task.Fits(type.capacity) || !AllowsType(spec, type.name)) return false;
     return !spec.zone || type.zones.empty() ||
            std::find(type.zones.begin(), type.zones.end(), *spec.zone) != type.zones.end();
   });
@@ -37,13 +37,14 @@
   const int machines = count == have.end() ? 0 : count->second;
   const Seconds since = now - refusal->second.at;
   // What we had at the refusal was all the capacity there is; with fewer, some may be free again.
-  return since > options_.refused_pause || (machines < refusal->second.have && since > kMinPause);
+  return since > options_.provision_retry_delay ||
+         (machines < refusal->second.have && since > kMinPause);
 }
 
 double Autoscaler::CheapestPricePerTask(const JobSpec& spec) const {
   double cheapest = std::numeric_limits<double>::infinity();
   for (const MachineType& type : types_) {
-    const std::uint32_t tasks = TasksThatFit(type.room, spec.per_task);
+    const std::uint32_t tasks = TasksThatFit(type.capacity, spec.per_task);
     if (tasks > 0)
       cheapest = std::min(cheapest, (spec.spot ? type.spot_price : type.price) / tasks);
   }
@@ -60,11 +61,11 @@
   std::optional<Offer> best;
   Cost best_cost;
   for (const MachineType& type : types_) {
-    const std::uint32_t fitting = TasksThatFit(type.room, spec.per_task);
+    const std::uint32_t fitting = TasksThatFit(type.capacity, spec.per_task);
     if (fitting == 0 || !AllowsType(spec, type.name)) continue;
     const std::uint32_t tasks = std::min(fitting, demand.tasks);
     const Seconds fetch{type.fetch_gb_per_s > 0 ? spec.image_gb / type.fetch_gb_per_s : 0};
-    const Seconds ready = type.boot + fetch;
+    const Seconds ready = type.boot_time + fetch;
     const bool late = ready + demand.run_time(type) > demand.target;
     for (const std::string& zone : type.zones) {
       if ((spec.zone && *spec.zone != zone) || !demand.zone_allowed(zone)) continue;
--- a/src/provisioning/autoscaler.h
+++ b/src/provisioning/autoscaler.h
@@ -35,7 +35,7 @@
 class Autoscaler {
  public:
   struct Options {
-    Seconds refused_pause{90};  // how long a refused kind is not asked for again
+    Seconds provision_retry_delay{90};  // how long a refused kind is not asked for again
     std::uint32_t max_per_request = 8;
     // Work that could wait gets no machine whose price for each task is more than this many times
     // the cheapest one.
--- a/src/records/job_cache.cc
+++ b/src/records/job_cache.cc
@@ -11,7 +11,7 @@
 namespace {
 constexpr std::uint32_t kRangePageSize = 500;
 constexpr std::size_t kMaxAnnouncedCancellations = 20000;
-constexpr std::size_t kPrefixLength = std::string_view(records::kJobs).size();
+constexpr std::size_t kPrefixLength = std::string_view(records::kJobPrefix).size();
 }  // namespace
 
 JobCache::JobCache(KeyValueStore& store, Seconds min_read_interval, Hooks hooks)
@@ -32,7 +32,7 @@
 
 // Waits for a read that began after the call; whether the latest one reached the store.
 bool JobCache::RefreshLocked(std::unique_lock<std::mutex>& lock) {
-  if (IsDisabled(SafetyCheck::kReadAfterQuestion) && store_reachable_) return true;
+  if (IsDisabled(SafetyCheck::kReadAfterRequest) && store_reachable_) return true;
   const std::uint64_t awaited_read = reads_started_ + 1;
   while (last_ended_read_ < awaited_read) {
     if (reading_) {
@@ -67,7 +67,8 @@
 bool JobCache::RecordCancellation(const Cancellation& cancellation) {
   std::scoped_lock lock(mutex_);
   // What a read of ours has, or had before the job was final, need not be kept.
-  if (cancellation.revision <= revision_ || IsDisabled(SafetyCheck::kCancellationKept)) return true;
+  if (cancellation.revision <= revision_ || IsDisabled(SafetyCheck::kCancellationStored))
+    return true;
   const std::string& job = cancellation.job.value;
   if (announced_cancellations_.size() >= kMaxAnnouncedCancellations &&
       !announced_cancellations_.contains(job))
@@ -100,7 +101,7 @@
       std::scoped_lock lock(mutex_);
       jobs_ = std::move(snapshot->jobs);
     }
-    const WatchResult watch = store_.Watch(records::kJobs, revision, Seconds{0});
+    const WatchResult watch = store_.Watch(records::kJobPrefix, revision, Seconds{0});
     if (watch.status != StoreStatus::kOk) return false;
     if (ApplyWatch(watch)) return true;
     revision = {};
@@ -124,7 +125,7 @@
   Snapshot snapshot;
   std::string after;
   for (bool more = true; more;) {
-    const RangeResult range = store_.Range(records::kJobs, after, kRangePageSize);
+    const RangeResult range = store_.Range(records::kJobPrefix, after, kRangePageSize);
     if (range.status != StoreStatus::kOk) return std::nullopt;
     // What changes while pages are read comes as an event of the watch.
     if (snapshot.revision.value == 0) snapshot.revision = range.revision;
@@ -146,8 +147,8 @@
     return;
   }
   const bool object = event.value->is_object();
-  jobs[id] = {event.revision, object && event.value->value(records::kStopping, false),
-              object && event.value->value(records::kCancelled, false)};
+  jobs[id] = {event.revision, object && event.value->value(records::kStoppingField, false),
+              object && event.value->value(records::kCancelledField, false)};
 }
 
 }  // namespace magpie
--- a/src/records/records.cc
+++ b/src/records/records.cc
@@ -14,7 +14,7 @@
 
 std::string ToKey(const RecordPageKey& key) {
   const std::string number = std::to_string(key.number);
-  return key.job.value.empty() ? kPages + number : kBlocks + key.job.value + '/' + number;
+  return key.job.value.empty() ? kPagePrefix + number : kBlockPrefix + key.job.value + '/' + number;
 }
 
 std::optional<RecordPageKey> ParseRecordPageKey(const std::string& key) {
@@ -22,10 +22,10 @@
   if (slash == std::string::npos) return std::nullopt;
   RecordPageKey page;
   if (slash > 1) {
-    if (!key.starts_with(kBlocks) || slash <= 2) return std::nullopt;
+    if (!key.starts_with(kBlockPrefix) || slash <= 2) return std::nullopt;
     page.job = {key.substr(2, slash - 2)};
     if (!IsJobId(page.job.value)) return std::nullopt;
-  } else if (!key.starts_with(kPages)) {
+  } else if (!key.starts_with(kPagePrefix)) {
     return std::nullopt;
   }
   const char* last = key.data() + key.size();
@@ -36,14 +36,14 @@
 
 Json ToJson(const JobRecord& record) {
   Json value = protocol::JobToRecord(record.spec);
-  if (record.stopping) value[kStopping] = true;
-  if (record.cancelled) value[kCancelled] = true;
+  if (record.stopping) value[kStoppingField] = true;
+  if (record.cancelled) value[kCancelledField] = true;
   return value;
 }
 
 JobRecord JobFromJson(const Json& value) {
-  return {protocol::JobFromRecord(value), value.value(kStopping, false),
-          value.value(kCancelled, false)};
+  return {protocol::JobFromRecord(value), value.value(kStoppingField, false),
+          value.value(kCancelledField, false)};
 }
 
 // One task: [index, attempt, done] or [index, attempt, done, machine, zone].
@@ -97,12 +97,12 @@
 }
 
 std::vector<Condition> ConditionsOf(const Leadership& leadership) {
-  return {{kLeader, leadership.leader}, {kEpoch, leadership.epoch}};
+  return {{kLeaderKey, leadership.leader}, {kEpochKey, leadership.epoch}};
 }
 
 bool ProvesDeposition(const std::vector<std::string>& failed) {
   return std::any_of(failed.begin(), failed.end(),
-                     [](const std::string& key) { return key == kLeader || key == kEpoch; });
+                     [](const std::string& key) { return key == kLeaderKey || key == kEpochKey; });
 }
 
 Transaction ToTransaction(const WriteBatch& batch, const Leadership& leadership) {
@@ -116,9 +116,9 @@
   const auto erase = [&](const std::string& key) {
     transaction.changes.push_back({key, std::nullopt, std::nullopt});
   };
-  require(SafetyCheck::kLeaderKeyCondition, kLeader, leadership.leader);
-  require(SafetyCheck::kEpochCondition, kEpoch, leadership.epoch);
-  for (const auto& [job, revision] : batch.jobs)
+  require(SafetyCheck::kLeaderKeyCondition, kLeaderKey, leadership.leader);
+  require(SafetyCheck::kEpochCondition, kEpochKey, leadership.epoch);
+  for (const auto& [job, revision] : batch.expected_job_revisions)
     require(SafetyCheck::kJobCondition, JobKey(job), revision);
   for (const auto& page : batch.puts) {
     require(SafetyCheck::kPageCondition, ToKey(page.key), page.expected);
--- a/src/records/records.h
+++ b/src/records/records.h
@@ -21,12 +21,12 @@
 namespace magpie::records {
 
 // Keys and prefixes of keys.
-inline constexpr char kControl[] = "c/";
-inline constexpr char kLeader[] = "c/leader";
-inline constexpr char kEpoch[] = "c/epoch";
-inline constexpr char kJobs[] = "j/";
-inline constexpr char kPages[] = "p/";
-inline constexpr char kBlocks[] = "t/";
+inline constexpr char kControlPrefix[] = "c/";
+inline constexpr char kLeaderKey[] = "c/leader";
+inline constexpr char kEpochKey[] = "c/epoch";
+inline constexpr char kJobPrefix[] = "j/";
+inline constexpr char kPagePrefix[] = "p/";
+inline constexpr char kBlockPrefix[] = "t/";
 
 // Keys of records, and back; nullopt: not the key of a page or block.
 std::string MemberKey(const std::string& label);
@@ -43,11 +43,11 @@
   bool stopping = false;
   bool cancelled = false;
   // Whether its tasks must no longer run.
-  bool over() const { return stopping || cancelled; }
+  bool must_stop() const { return stopping || cancelled; }
 };
 // Fields of a job record.
-inline constexpr char kStopping[] = "stopping";
-inline constexpr char kCancelled[] = "cancelled";
+inline constexpr char kStoppingField[] = "stopping";
+inline constexpr char kCancelledField[] = "cancelled";
 Json ToJson(const JobRecord& record);
 // Raises protocol::InvalidMessage or Json::exception.
 JobRecord JobFromJson(const Json& value);
--- a/src/records/write_batch_committer.cc
+++ b/src/records/write_batch_committer.cc
@@ -149,8 +149,8 @@
     const TransactionResult compared = store_.Commit(leadership_check);
     const bool deposed =
         compared.status == StoreStatus::kConflict && records::ProvesDeposition(compared.failed);
-    if (deposed && !IsDisabled(SafetyCheck::kCommittedByUs)) return {Status::kDeposed, {}};
-    if (compared.status != StoreStatus::kOk && !IsDisabled(SafetyCheck::kCommittedByUs)) {
+    if (deposed && !IsDisabled(SafetyCheck::kCommittedByThisLeader)) return {Status::kDeposed, {}};
+    if (compared.status != StoreStatus::kOk && !IsDisabled(SafetyCheck::kCommittedByThisLeader)) {
       Wait();
       continue;
     }
@@ -162,7 +162,7 @@
 
 std::vector<WriteOutcome::Job> WriteBatchCommitter::ReloadJobs(const WriteBatch& batch) {
   std::vector<WriteOutcome::Job> jobs;
-  for (const auto& [job, revision] : batch.jobs) {
+  for (const auto& [job, revision] : batch.expected_job_revisions) {
     const GetResult result = store_.Get(records::JobKey(job));
     if (result.status != StoreStatus::kOk || !result.entry) continue;
     try {
--- a/src/scheduling/candidate_selector.cc
+++ b/src/scheduling/candidate_selector.cc
@@ -31,7 +31,7 @@
     if (plan_.by_kind()[known_kinds_].empty() || !KindAllows(job_.spec, info) ||
         !IsZoneAllowed(job_, info.kind.zone))
       continue;
-    kinds_.push_back({job_.spec.spot && !info.kind.spot, info.type->room.cpus, known_kinds_});
+    kinds_.push_back({job_.spec.spot && !info.kind.spot, info.type->capacity.cpus, known_kinds_});
   }
   std::sort(kinds_.begin(), kinds_.end());
 }
--- a/src/scheduling/cloud_coordinator.cc
+++ b/src/scheduling/cloud_coordinator.cc
@@ -27,9 +27,9 @@
 void CloudCoordinator::ScaleOut(const MachineKind& kind, std::uint32_t count) {
   CloudCall call;
   call.kind = CloudCall::Kind::kProvision;
-  call.order = {request_prefix_ + std::to_string(++requests_made_), kind,
-                std::min(count, state_.autoscaler.options().max_per_request)};
-  pending_scale_outs_.insert(call.order.name);
+  call.scale_out = {request_prefix_ + std::to_string(++requests_made_), kind,
+                    std::min(count, state_.autoscaler.options().max_per_request)};
+  pending_scale_outs_.insert(call.scale_out.name);
   scale_outs_.push_back(std::move(call));
 }
 
@@ -60,31 +60,33 @@
 }
 
 bool CloudCoordinator::IsFromThisTerm(const CloudCall& call) const {
-  return state_.term.loaded && call.order.name.starts_with(request_prefix_);
+  return state_.term.loaded && call.scale_out.name.starts_with(request_prefix_);
 }
 
 void CloudCoordinator::OnProvisioned(const CloudCall& call, const std::vector<MachineId>& machines,
                                      Instant now) {
   if (!IsFromThisTerm(call)) return;
-  pending_scale_outs_.erase(call.order.name);
+  pending_scale_outs_.erase(call.scale_out.name);
   for (const MachineId& id : machines) {
     if (state_.machines.WasReleased(id)) continue;
     Machine& machine = state_.FindOrCreateMachine(id, now);
     if (machine.up) continue;
-    machine.type = call.order.kind.type;
-    machine.zone = call.order.kind.zone;
-    machine.spot = call.order.kind.spot;
+    machine.type = call.scale_out.kind.type;
+    machine.zone = call.scale_out.kind.zone;
+    machine.spot = call.scale_out.kind.spot;
     machine.kind.reset();
-    machine.ordered = true;
+    machine.provisioned_by_leader = true;
   }
   state_.signals.MarkChanged();
-  if (machines.size() < call.order.count)
-    state_.autoscaler.OnRefused(call.order.kind, state_.machines.CountOfKind(call.order.kind), now);
+  if (machines.size() < call.scale_out.count)
+    state_.autoscaler.OnRefused(call.scale_out.kind,
+                                state_.machines.CountOfKind(call.scale_out.kind), now);
 }
 
 void CloudCoordinator::OnProvisioningRefused(const CloudCall& call, Instant now) {
-  pending_scale_outs_.erase(call.order.name);
-  state_.autoscaler.OnRefused(call.order.kind, state_.machines.CountOfKind(call.order.kind), now);
+  pending_scale_outs_.erase(call.scale_out.name);
+  state_.autoscaler.OnRefused(call.scale_out.kind, state_.machines.CountOfKind(call.scale_out.kind),
+                              now);
   next_scale_out_ = now;
   state_.signals.MarkChanged();
 }
@@ -124,7 +126,7 @@
 
 void CloudCoordinator::OnList(const std::vector<ListedMachine>& machines, Instant now) {
   list_open_ = false;
-  next_list_ = now + state_.options.list_every;
+  next_list_ = now + state_.options.list_interval;
   if (!state_.term.loaded) return;
   if (!std::exchange(list_seen_, true)) state_.signals.MarkChanged();
   for (const ListedMachine& listed : machines)
@@ -153,7 +155,7 @@
 
 void CloudCoordinator::OnListFailed(Instant now) {
   list_open_ = false;
-  next_list_ = now + state_.options.list_every;
+  next_list_ = now + state_.options.list_interval;
 }
 
 }  // namespace magpie
--- a/src/scheduling/cluster_capacity.h
+++ b/src/scheduling/cluster_capacity.h
@@ -20,7 +20,7 @@
 struct ClusterCapacity {
   std::vector<KindCapacity> by_kind;  // by number of the kind; empty before the first round
   // Until the arrays that run now would be done if they had all the capacity, by priority.
-  std::array<Seconds, kPriorityCount> busy{};
+  std::array<Seconds, kPriorityCount> remaining_run_time{};
   double array_cpus = 0;  // CPUs that services leave to arrays
 };
 
--- a/src/scheduling/command_builder.cc
+++ b/src/scheduling/command_builder.cc
@@ -59,11 +59,11 @@
 }
 
 bool CommandBuilder::IsReadyToRun(const HeldTask& held) {
-  if (held.job->cancelled && !IsDisabled(SafetyCheck::kNoRunWhileStopping)) return false;
+  if (held.job->cancelled && !IsDisabled(SafetyCheck::kNoStartWhileStopping)) return false;
   const Task& task = held.task();
-  if (task.state != TaskPhase::kBound && !IsDisabled(SafetyCheck::kRunOfDurableOnly)) return false;
+  if (task.state != TaskPhase::kBound && !IsDisabled(SafetyCheck::kStartOnlyDurable)) return false;
   if (task.listed || task.result_unconfirmed) return false;
-  return !task.stop_requested || IsDisabled(SafetyCheck::kNoRunWhileStopping);
+  return !task.stop_requested || IsDisabled(SafetyCheck::kNoStartWhileStopping);
 }
 
 }  // namespace magpie
--- a/src/scheduling/consolidator.cc
+++ b/src/scheduling/consolidator.cc
@@ -53,7 +53,7 @@
       continue;
     candidates.replicas +=
         machine->tasks.size() - std::min<std::size_t>(machine->arrays, machine->tasks.size());
-    const double used_part = machine->used.cpus / std::max(kind.type->room.cpus, 1.0);
+    const double used_part = machine->used.cpus / std::max(kind.type->capacity.cpus, 1.0);
     if (used_part <= kMaxUsedPart)
       candidates.machines.push_back({kind.type->price * (1 - used_part), machine});
   }
--- a/src/scheduling/due_times.cc
+++ b/src/scheduling/due_times.cc
@@ -8,7 +8,7 @@
 Seconds DueTimeCalculator::RunTimeOnLargestType(const JobSpec& spec) const {
   const MachineType* largest = nullptr;
   for (const MachineType& type : autoscaler_.types())
-    if (largest == nullptr || type.room.cpus > largest->room.cpus) largest = &type;
+    if (largest == nullptr || type.capacity.cpus > largest->capacity.cpus) largest = &type;
   return largest == nullptr ? spec.estimate : run_times_.ExpectedOnType(spec, largest->name);
 }
 
@@ -18,11 +18,10 @@
   if (spec.deadline) targets.push_back({*spec.deadline, *spec.deadline});
   for (const Objective& objective : options_.objectives) {
     if (objective.job_class != spec.job_class) continue;
-    if (objective.kind == "finished") targets.push_back({objective.within, objective.within});
-    if (objective.kind == "wait")
-      targets.push_back({objective.within + run_time, objective.within});
-    if (objective.kind == "deadline" && spec.deadline && objective.times > 1) {
-      const Seconds extended = objective.times * *spec.deadline;
+    if (objective.kind == "finished") targets.push_back({objective.limit, objective.limit});
+    if (objective.kind == "wait") targets.push_back({objective.limit + run_time, objective.limit});
+    if (objective.kind == "deadline" && spec.deadline && objective.deadline_factor > 1) {
+      const Seconds extended = objective.deadline_factor * *spec.deadline;
       targets.push_back({extended, extended});
     }
   }
@@ -32,10 +31,10 @@
 std::vector<DueTimeCalculator::Target> DueTimeCalculator::TargetsOfGuarantee(
     const Job& job, Seconds run_time) const {
   std::vector<Target> targets;
-  if (!job.within) return targets;
+  if (!job.within_guarantee) return targets;
   for (const Objective& objective : options_.objectives)
     if (objective.kind == "guarantee")
-      targets.push_back({objective.within + run_time, objective.within});
+      targets.push_back({objective.limit + run_time, objective.limit});
   return targets;
 }
 
--- a/src/scheduling/failure_detector.cc
+++ b/src/scheduling/failure_detector.cc
@@ -34,7 +34,7 @@
   constexpr double kMeanGaps = 8;            // between two heartbeats of the zone
   constexpr Seconds kMinGap{2.5};
   const Seconds interval = state_.options.heartbeat_interval;
-  state_.machines.heartbeats().Pass(now);
+  state_.machines.heartbeats().AdvanceTime(now);
   const std::map<std::string, std::uint32_t> relayed = CountRelayedByZone(now);
   std::set<std::string> suspected;
   for (const auto& [name, zone] : state_.machines.heartbeats().zones()) {
@@ -147,14 +147,15 @@
   constexpr double kPartOfPromise = 0.4;
   return std::any_of(machine.tasks.begin(), machine.tasks.end(), [&](const HeldTask& held) {
     return held.job->cancelled &&
-           now - held.job->cancelled_at > kPartOfPromise * state_.options.cancel;
+           now - held.job->cancelled_at > kPartOfPromise * state_.options.cancel_deadline;
   });
 }
 
 bool FailureDetector::IsBootOverdue(const Machine& machine, Instant now) const {
   const SchedulerOptions& options = state_.options;
   const Seconds maximum =
-      options.boot_patience * state_.boot_times.ExpectedTime(machine.type, now) + options.lease;
+      options.boot_timeout_factor * state_.boot_times.ExpectedTime(machine.type, now) +
+      options.lease;
   return now - machine.created_at >
              state_.boot_times.GiveUpAfter(machine.type, options.min_age, maximum, now) &&
          now - state_.term.loaded_at > options.lease;
@@ -165,7 +166,8 @@
   if (machine.cordoned || machine.draining || machine.preemption_deadline) return true;
   // Nothing is put on a machine whose heartbeats reach nobody. That may pass; a machine for which
   // it does not is paid for in vain.
-  return machine.cannot_report && now - machine.reported > LeaseEnded() + kRenewedPartition;
+  return machine.inbound_unreachable &&
+         now - machine.heartbeat_received_at > LeaseEnded() + kRenewedPartition;
 }
 
 // The cloud will take the machine: tasks that cannot end in time are stopped, and saved if they can
@@ -179,10 +181,10 @@
     const bool ends_in_time = job.spec.kind == JobKind::kArray && task.running &&
                               state_.run_times.ExpectedEnd(job, task, machine, now) - now < left;
     if (ends_in_time) continue;
-    const bool saves = job.spec.checkpoint.value > 0;
-    if (saves && left > job.spec.save + 2.0 * state_.options.heartbeat_interval)
+    const bool saves = job.spec.checkpoint_interval.value > 0;
+    if (saves && left > job.spec.save_duration + 2.0 * state_.options.heartbeat_interval)
       continue;  // it runs on for now
-    lifecycle_.StopTask(held, saves ? job.spec.save + Seconds{1} : Seconds{0});
+    lifecycle_.StopTask(held, saves ? job.spec.save_duration + Seconds{1} : Seconds{0});
     state_.commands.Request(machine);
   }
 }
--- a/src/scheduling/fencing.cc
+++ b/src/scheduling/fencing.cc
@@ -9,7 +9,7 @@
 namespace magpie {
 
 bool ProvesAbsence(const Machine& machine, MessageSource source) {
-  if (machine.seen_token < machine.fencing_token && !IsDisabled(SafetyCheck::kFenceSeen))
+  if (machine.seen_token < machine.fencing_token && !IsDisabled(SafetyCheck::kFencingTokenSeen))
     return false;
   if (machine.command_in_flight && !IsDisabled(SafetyCheck::kCommandInFlight)) return false;
   return !(source == MessageSource::kDirectCommandAnswer && machine.response_in_flight) ||
--- a/src/scheduling/headroom_planner.cc
+++ b/src/scheduling/headroom_planner.cc
@@ -109,7 +109,7 @@
   constexpr double kMaxOfRunning = 0.1;
   Seconds longest_boot{};
   for (const MachineType& type : state_.autoscaler.types())
-    longest_boot = std::max(longest_boot, type.boot);
+    longest_boot = std::max(longest_boot, type.boot_time);
   const double arriving = std::min(demand.arrived_tasks / kArrivalMemory.value * longest_boot.value,
                                    kMaxOfRunning * running_replicas);
   const double largest = demand.largest > 1 ? demand.largest : 0;
@@ -175,7 +175,7 @@
   if (!offer) return 0;
   ++round.scale_outs[offer->kind];
   ++round.machines_by_kind[offer->kind];
-  return TasksThatFit(offer->type->room, spec.per_task);
+  return TasksThatFit(offer->type->capacity, spec.per_task);
 }
 
 void HeadroomPlanner::KeepSpotMachines(PlanningRound& round, Instant now) const {
--- a/src/scheduling/heartbeat_index.cc
+++ b/src/scheduling/heartbeat_index.cc
@@ -9,15 +9,15 @@
   zones_.clear();
 }
 
-void HeartbeatIndex::Join(Member& machine, Instant now) {
+void HeartbeatIndex::AddMember(Member& machine, Instant now) {
   machine.last_heartbeat = now;
   machine.joined = true;
   machine.place = fresh_.insert(fresh_.end(), &machine);
 }
 
-void HeartbeatIndex::Leave(Member& machine) {
+void HeartbeatIndex::RemoveMember(Member& machine) {
   if (!machine.joined) return;
-  Count(machine, {}, false);
+  AssignZone(machine, {}, false);
   Unwatch(machine);
   (machine.is_late ? late_ : fresh_).erase(machine.place);
   machine.joined = false;
@@ -32,7 +32,7 @@
   return was_late;
 }
 
-void HeartbeatIndex::Count(Member& machine, const std::string& zone, bool counted) {
+void HeartbeatIndex::AssignZone(Member& machine, const std::string& zone, bool counted) {
   Zone* now = counted ? &zones_[zone] : nullptr;
   if (now == machine.zone) return;
   const std::uint32_t late = machine.is_late ? 1 : 0;
@@ -59,7 +59,7 @@
   watched_.erase(machine.watch);
 }
 
-void HeartbeatIndex::Pass(Instant now) {
+void HeartbeatIndex::AdvanceTime(Instant now) {
   while (!fresh_.empty() && now - fresh_.front()->last_heartbeat > late_after_) {
     Member& machine = *fresh_.front();
     late_.splice(late_.end(), fresh_, fresh_.begin());
--- a/src/scheduling/heartbeat_index.h
+++ b/src/scheduling/heartbeat_index.h
@@ -23,7 +23,7 @@
     Instant last_heartbeat;  // the latest that came without another controller between
   };
 
-  // A machine as the index knows it. Its owner may free it after Leave.
+  // A machine as the index knows it. Its owner may free it after RemoveMember.
   struct Member {
     Instant last_heartbeat;
 
@@ -42,8 +42,8 @@
 
   void Clear();
   // Members must not move in memory until they leave.
-  void Join(Member& machine, Instant now);
-  void Leave(Member& machine);
+  void AddMember(Member& machine, Instant now);
+  void RemoveMember(Member& machine);
   // The member was heard just now. Returns whether it was late.
   bool RecordHeartbeat(Member& machine, Instant now);
   // A machine of the zone was heard without another controller between.
@@ -51,12 +51,12 @@
     zones_[zone].last_heartbeat = now;
   }
   // Counts the member in a zone, or not at all.
-  void Count(Member& machine, const std::string& zone, bool counted);
+  void AssignZone(Member& machine, const std::string& zone, bool counted);
   // The member is inspected at each inspection, until Unwatch.
   void Watch(Member& machine);
   void Unwatch(Member& machine);
   // Finds the members that have become late.
-  void Pass(Instant now);
+  void AdvanceTime(Instant now);
 
   // Those heard least lately come first.
   const std::list<Member*>& late() const { return late_; }
--- a/src/scheduling/heartbeat_processor.cc
+++ b/src/scheduling/heartbeat_processor.cc
@@ -166,7 +166,8 @@
   if (!machine.up) {
     if (std::exchange(machine.in_records, false)) --state_.reconciliation.unreconciled;
     machine.up = true;
-    if (machine.ordered) state_.boot_times.RecordBoot(machine.type, now - machine.created_at, now);
+    if (machine.provisioned_by_leader)
+      state_.boot_times.RecordBoot(machine.type, now - machine.created_at, now);
     state_.signals.RequestTick();
     machine.idle_since = now;
     state_.signals.MarkChanged();
@@ -193,11 +194,11 @@
 void HeartbeatProcessor::UpdateCannotReport(Machine& machine, MessageSource source, Instant now) {
   constexpr double kMissedIntervals = 4;
   constexpr double kPartOfLease = 0.5;
-  if (source == MessageSource::kHeartbeat || !machine.up) machine.reported = now;
+  if (source == MessageSource::kHeartbeat || !machine.up) machine.heartbeat_received_at = now;
   const Seconds maximum = std::max(kMissedIntervals * state_.options.heartbeat_interval,
                                    kPartOfLease * state_.options.lease);
-  const bool cannot_report = now - machine.reported > maximum;
-  if (std::exchange(machine.cannot_report, cannot_report) != cannot_report)
+  const bool inbound_unreachable = now - machine.heartbeat_received_at > maximum;
+  if (std::exchange(machine.inbound_unreachable, inbound_unreachable) != inbound_unreachable)
     state_.signals.MarkChanged();
 }
 
--- a/src/scheduling/job_ordering.cc
+++ b/src/scheduling/job_ordering.cc
@@ -60,7 +60,7 @@
     // A job that may be faulty itself takes neither capacity nor machines from others.
     std::uint32_t max_tasks = failures.MaxConcurrentTasks(job->serial);
     if (max_tasks <= job->bound || now < failures.NotBefore(job->serial)) continue;
-    if (max_tasks != FailureAttribution::kAll) max_tasks -= job->bound;
+    if (max_tasks != FailureAttribution::kUnlimited) max_tasks -= job->bound;
     QueuedJob& queued = jobs.emplace_back();
     queued.job = job;
     queued.due = due_times_.Calculate(*job, wall);
@@ -139,7 +139,7 @@
     if (capacity.machines == 0 || !KindAllows(spec, info)) continue;
     const Resources& free = capacity.without_services;
     double fitting =
-        capacity.machines * static_cast<double>(TasksThatFit(info.type->room, per_task));
+        capacity.machines * static_cast<double>(TasksThatFit(info.type->capacity, per_task));
     if (per_task.cpus > 0) fitting = std::min(fitting, free.cpus / per_task.cpus);
     if (per_task.gpus > 0) fitting = std::min(fitting, free.gpus / per_task.gpus);
     if (per_task.memory_gb > 0) fitting = std::min(fitting, free.memory_gb / per_task.memory_gb);
@@ -152,8 +152,8 @@
 // The work of the running arrays that are not preempted for this priority.
 Seconds JobOrdering::BusyFrom(Priority priority) const {
   Seconds busy;
-  for (auto p = static_cast<std::size_t>(priority); p < capacity_.busy.size(); ++p)
-    busy = busy + capacity_.busy.at(p);
+  for (auto p = static_cast<std::size_t>(priority); p < capacity_.remaining_run_time.size(); ++p)
+    busy = busy + capacity_.remaining_run_time.at(p);
   return busy;
 }
 
--- a/src/scheduling/job_state.h
+++ b/src/scheduling/job_state.h
@@ -58,8 +58,8 @@
   std::string shape;        // see job_shape.h
   Revision revision;
   bool cancelled = false;
-  bool within = false;  // its team's guarantee, as of its arrival: see QuotaLedger
-  Resources claim;      // on its team's guarantee, until it is done
+  bool within_guarantee = false;  // its team's guarantee, as of its arrival: see QuotaLedger
+  Resources claim;                // on its team's guarantee, until it is done
   Instant cancelled_at;
   std::vector<Task> tasks;
   std::uint32_t serial = 0;                      // never used again
--- a/src/scheduling/machine_kinds.cc
+++ b/src/scheduling/machine_kinds.cc
@@ -17,7 +17,7 @@
 bool KindAllows(const JobSpec& spec, const KindInfo& kind) {
   if (kind.type == nullptr || (kind.kind.spot && !spec.spot)) return false;
   if (!AllowsType(spec, kind.kind.type)) return false;
-  return (!spec.zone || *spec.zone == kind.kind.zone) && spec.per_task.Fits(kind.type->room);
+  return (!spec.zone || *spec.zone == kind.kind.zone) && spec.per_task.Fits(kind.type->capacity);
 }
 
 }  // namespace magpie
--- a/src/scheduling/machine_state.h
+++ b/src/scheduling/machine_state.h
@@ -42,8 +42,8 @@
 
   // --- Its life
   Instant created_at;
-  bool ordered = false;         // by this leader
-  bool up = false;              // was heard since the takeover
+  bool provisioned_by_leader = false;  // by this leader
+  bool up = false;                     // was heard since the takeover
   bool in_records = false;      // held tasks by the records at the takeover, and is not reconciled
   bool listed_running = false;  // by the cloud's last list
   bool listed_failed = false;   // by the cloud's last list
@@ -53,13 +53,13 @@
   std::optional<Instant> preemption_deadline;  // when the cloud takes it back
 
   // --- Failure detection
-  bool relayed = false;             // its heartbeats come through another controller
-  bool directly_reachable = false;  // it has answered a direct command since then
-  bool suspected = false;           // it misses heartbeats and does not answer
-  bool cannot_report = false;       // it answers, but its heartbeats reach nobody
-  Instant reported;                 // when its latest heartbeat came
-  std::uint32_t failed_probes = 0;  // in a row, since it was last heard
-  Instant failing_since;            // when the first of them failed
+  bool relayed = false;              // its heartbeats come through another controller
+  bool directly_reachable = false;   // it has answered a direct command since then
+  bool suspected = false;            // it misses heartbeats and does not answer
+  bool inbound_unreachable = false;  // it answers, but its heartbeats reach nobody
+  Instant heartbeat_received_at;     // when its latest heartbeat came
+  std::uint32_t failed_probes = 0;   // in a row, since it was last heard
+  Instant failing_since;             // when the first of them failed
   Instant next_probe_at;
 
   // --- Commands and fencing: see fencing.h
@@ -79,7 +79,7 @@
   Resources used;               // by those that hold resources
   std::uint32_t arrays = 0;     // how many of these belong to arrays
   Instant idle_since;
-  std::vector<TaskStatus> last;  // what the latest message reported
+  std::vector<TaskStatus> last;  // what the latest message heartbeat_received_at
 
   // --- What was learned
   std::deque<CachedImage> images;  // latest first
@@ -91,7 +91,7 @@
   return machine.up && machine.seen_token >= machine.fencing_token && !machine.relayed &&
          machine.failed_probes == 0 && !machine.cordoned && !machine.draining &&
          !machine.preemption_deadline && !machine.command_deferred &&
-         machine.out_of_order_messages == 0 && !machine.cannot_report;
+         machine.out_of_order_messages == 0 && !machine.inbound_unreachable;
 }
 
 }  // namespace magpie
--- a/src/scheduling/machine_table.cc
+++ b/src/scheduling/machine_table.cc
@@ -27,13 +27,13 @@
   machine->created_at = now;
   machine->idle_since = now;
   by_id_[id] = machine.get();
-  heartbeats_.Join(*machine, now);
+  heartbeats_.AddMember(*machine, now);
   heartbeats_.Watch(*machine);
   return *machine;
 }
 
 void MachineTable::Remove(Machine& machine) {
-  heartbeats_.Leave(machine);
+  heartbeats_.RemoveMember(machine);
   const MachineId id = machine.id;  // the key must outlive the machine
   by_id_.erase(id);
   machines_.erase(id);
@@ -48,7 +48,7 @@
 }
 
 void MachineTable::UpdateZoneCount(Machine& machine) {
-  heartbeats_.Count(machine, machine.zone, machine.up || !machine.tasks.empty());
+  heartbeats_.AssignZone(machine, machine.zone, machine.up || !machine.tasks.empty());
 }
 
 int MachineTable::CountOfKind(const MachineKind& kind) const {
--- a/src/scheduling/plan_builder.cc
+++ b/src/scheduling/plan_builder.cc
@@ -12,13 +12,13 @@
 
 // Whether time alone may have the machine released, given up or emptied of its replicas.
 bool MayChangeWithTime(const Machine& machine, const MachineType& type) {
-  const bool mostly_unused = 2 * machine.used.cpus <= type.room.cpus;
+  const bool mostly_unused = 2 * machine.used.cpus <= type.capacity.cpus;
   return !machine.up || machine.tasks.empty() ||
          (machine.arrays == 0 && !machine.spot && mostly_unused);
 }
 
 Resources FreeResources(const Machine& machine, const MachineType& type) {
-  Resources free = type.room;
+  Resources free = type.capacity;
   free -= machine.used;
   return free;
 }
@@ -27,7 +27,7 @@
 
 bool IsSchedulable(const Machine& machine) {
   return !machine.releasing && !machine.cordoned && !machine.draining &&
-         !machine.preemption_deadline && !machine.cannot_report;
+         !machine.preemption_deadline && !machine.inbound_unreachable;
 }
 
 void PlanBuilder::AddMachines(PlanningRound& round, Instant now) {
@@ -48,7 +48,7 @@
     if (IsSchedulable(*machine)) AddMachine(round, *machine, kind, now);
   }
   for (std::size_t priority = 0; priority < busy_cpu_time_.size(); ++priority)
-    capacity_.busy.at(priority) =
+    capacity_.remaining_run_time.at(priority) =
         (1 / std::max(without_services_.cpus, 1.0)) * busy_cpu_time_.at(priority);
   capacity_.array_cpus = without_services_.cpus;
   for (std::size_t kind = 0; kind < capacity_.by_kind.size(); ++kind)
@@ -83,7 +83,7 @@
   if (!machine.up) {
     const bool late = now - machine.created_at > state_.boot_times.LateAfter(machine.type, now);
     if (machine.tasks.empty() && late) return std::nullopt;
-    return std::max(now + kMinBootTime, machine.created_at + type.boot);
+    return std::max(now + kMinBootTime, machine.created_at + type.boot_time);
   }
   const Seconds silence = now - machine.last_heartbeat;
   if (silence > kMaxSilence * state_.options.heartbeat_interval || machine.suspected)
@@ -99,7 +99,7 @@
 Resources PlanBuilder::AddTasks(PlanningRound& round, PlannedMachine& planned,
                                 const MachineType& type, Instant now) {
   const Machine& machine = *planned.machine;
-  Resources without_services = type.room;
+  Resources without_services = type.capacity;
   for (const HeldTask& held : machine.tasks) {
     const Job& job = *held.job;
     const JobSpec& spec = job.spec;
--- a/src/scheduling/planner.cc
+++ b/src/scheduling/planner.cc
@@ -79,7 +79,7 @@
 void Planner::UpdateBootTimes(Instant now) {
   for (const HeartbeatIndex::Member* member : state_.machines.heartbeats().watched()) {
     const Machine& machine = static_cast<const Machine&>(*member);
-    if (!machine.up && machine.ordered)
+    if (!machine.up && machine.provisioned_by_leader)
       state_.boot_times.RecordWait(machine.type, now - machine.created_at);
   }
   for (const MachineType& type : state_.autoscaler.types())
@@ -115,7 +115,7 @@
     state_.machines.heartbeats().Watch(*machine);
     state_.decisions.Add("drain " + machine->id.value);
     for (const HeldTask& held : machine->tasks)
-      lifecycle_.StopTask(held, held.job->spec.save + kSaveMargin);
+      lifecycle_.StopTask(held, held.job->spec.save_duration + kSaveMargin);
     state_.commands.Request(*machine);
   }
 }
@@ -126,8 +126,9 @@
   for (const PlannedMachine& planned : plan.machines()) {
     Machine* machine = planned.machine;
     if (machine == nullptr || planned.needed || !machine->up || !machine->tasks.empty()) continue;
-    if (now - machine->idle_since > options.idle && now - machine->created_at > options.min_age &&
-        now - state_.term.loaded_at > options.idle)
+    if (now - machine->idle_since > options.idle_timeout &&
+        now - machine->created_at > options.min_age &&
+        now - state_.term.loaded_at > options.idle_timeout)
       idle.push_back(machine);
   }
   return idle;
--- a/src/scheduling/preemption_planner.cc
+++ b/src/scheduling/preemption_planner.cc
@@ -15,8 +15,8 @@
 // What is lost of a task when it is stopped, in seconds.
 double LostRunTime(const JobSpec& spec, const Task& task, Instant now) {
   if (!task.running) return 0;
-  const bool saves_its_work = spec.checkpoint.value > 0;
-  return saves_its_work ? spec.save.value : (now - task.since).value;
+  const bool saves_its_work = spec.checkpoint_interval.value > 0;
+  return saves_its_work ? spec.save_duration.value : (now - task.since).value;
 }
 
 }  // namespace
@@ -76,7 +76,7 @@
 std::optional<Preemption> PreemptionPlanner::PreemptionOn(const PlannedMachine& planned,
                                                           const Job& job, Instant now) const {
   const Resources& demand = job.spec.per_task;
-  Resources free = state_.kinds.all()[planned.kind].type->room;
+  Resources free = state_.kinds.all()[planned.kind].type->capacity;
   free -= planned.machine->used;
   Preemption preemption{0, planned.machine, {}};
   for (const Candidate& candidate : CandidatesOn(*planned.machine, job, now)) {
--- a/src/scheduling/queued_job.cc
+++ b/src/scheduling/queued_job.cc
@@ -4,7 +4,8 @@
 
 JobRank RankOf(const Job& job, const QuotaLedger& quotas) {
   const int negative_priority = -static_cast<int>(job.spec.priority);
-  if (job.spec.priority == Priority::kProduction || job.within) return {0, negative_priority};
+  if (job.spec.priority == Priority::kProduction || job.within_guarantee)
+    return {0, negative_priority};
   return {quotas.NextTaskIsGuaranteed(job) ? 1 : 2, negative_priority};
 }
 
--- a/src/scheduling/queued_job.h
+++ b/src/scheduling/queued_job.h
@@ -40,7 +40,7 @@
   JobRank rank;
   bool deferred = false;  // meets no target along with the other jobs
   // How many of its tasks may be started: fewer while the job itself may be faulty.
-  std::uint32_t max_tasks = FailureAttribution::kAll;
+  std::uint32_t max_tasks = FailureAttribution::kUnlimited;
   Seconds sort_key;  // among jobs of a rank: the target, or the work that is left if deferred
 };
 
--- a/src/scheduling/quota_ledger.cc
+++ b/src/scheduling/quota_ledger.cc
@@ -69,7 +69,7 @@
                   tasks * spec.per_task.memory_gb};
     Resources& claims = claims_[spec.team];
     claims += job->claim;
-    job->within = IsGuaranteed(spec.team, claims);
+    job->within_guarantee = IsGuaranteed(spec.team, claims);
   }
 }
 
--- a/src/scheduling/record_loader.cc
+++ b/src/scheduling/record_loader.cc
@@ -111,7 +111,7 @@
   if (job.done == 0) {
     Attempt maximum;
     for (const Task& task : job.tasks) maximum = std::max(maximum, task.attempt);
-    state_.failure_attribution.Recalled(job.serial, maximum);
+    state_.failure_attribution.OnAttemptsLoaded(job.serial, maximum);
   }
   job.cancelled_at = now;
   if (lifecycle_.IsFinal(job)) state_.unpersisted.MarkJob(job.spec.id);
--- a/src/scheduling/record_writer.cc
+++ b/src/scheduling/record_writer.cc
@@ -158,7 +158,7 @@
     if (job->tasks[index].machine != nullptr) lifecycle_.EndWithJob(*job, index, now);
   state_.service_metrics.Count(job->spec, final.state == JobOutcome::kDone
                                               ? &ServiceMetrics::Row::done
-                                              : &ServiceMetrics::Row::withdrawn);
+                                              : &ServiceMetrics::Row::cancelled);
   state_.RemoveJob(*job);
 }
 
--- a/src/scheduling/run_time_estimator.cc
+++ b/src/scheduling/run_time_estimator.cc
@@ -8,7 +8,7 @@
 namespace magpie {
 
 Seconds RunTimeEstimator::ExpectedOnType(const JobSpec& spec, const std::string& type) const {
-  return table_.Expect(spec, type);
+  return table_.ExpectedRunTime(spec, type);
 }
 
 // Plans ask for every task on every machine, so the table is asked once for each version of it.
@@ -20,12 +20,13 @@
   }
   if (job.runs.size() <= kind) job.runs.resize(kinds_.all().size(), kUnknown);
   double& run = job.runs[kind];
-  if (run < 0) run = table_.Expect(job.spec, kinds_.all()[kind].kind.type).value;
+  if (run < 0) run = table_.ExpectedRunTime(job.spec, kinds_.all()[kind].kind.type).value;
   return {run};
 }
 
 Seconds RunTimeEstimator::ExpectedOnMachine(const Job& job, const Machine& machine) const {
-  return machine.kind ? ExpectedOnKind(job, *machine.kind) : table_.Expect(job.spec, machine.type);
+  return machine.kind ? ExpectedOnKind(job, *machine.kind)
+                      : table_.ExpectedRunTime(job.spec, machine.type);
 }
 
 Instant RunTimeEstimator::ExpectedEnd(const Job& job, const Task& task, const Machine& machine,
--- a/src/scheduling/run_time_table.cc
+++ b/src/scheduling/run_time_table.cc
@@ -38,7 +38,7 @@
   if (latest_.size() > kMaxRatiosOfJob) latest_.erase(latest_.begin());
 }
 
-std::optional<double> JobPace::Elsewhere(std::size_t machine) const {
+std::optional<double> JobPace::MedianOnOtherMachines(std::size_t machine) const {
   std::vector<double> ratios;
   for (const auto& [there, ratio] : latest_)
     if (there != machine) ratios.push_back(ratio);
@@ -46,7 +46,7 @@
   return MedianOf(std::move(ratios));
 }
 
-Seconds RunTimeTable::Expect(const JobSpec& spec, const std::string& type) const {
+Seconds RunTimeTable::ExpectedRunTime(const JobSpec& spec, const std::string& type) const {
   const double estimate = std::min(spec.estimate.value, kMaxEstimateSeconds);
   auto cell = cells_.find({type, SizeOf(spec)});
   if (cell != cells_.end() && cell->second.latest.size() >= kMinRatios)
--- a/src/scheduling/run_time_table.h
+++ b/src/scheduling/run_time_table.h
@@ -23,7 +23,7 @@
   // `machine` is any number that tells machines apart. At most the latest few are kept.
   void Add(std::size_t machine, double ratio);
   // The median on other machines; none while too few are known.
-  std::optional<double> Elsewhere(std::size_t machine) const;
+  std::optional<double> MedianOnOtherMachines(std::size_t machine) const;
 
  private:
   std::vector<std::pair<std::size_t, double>> latest_;
@@ -35,7 +35,7 @@
 class RunTimeTable {
  public:
   // Expected run time of a task of this job on this machine type.
-  Seconds Expect(const JobSpec& spec, const std::string& type) const;
+  Seconds ExpectedRunTime(const JobSpec& spec, const std::string& type) const;
   // A task completed after running for `took`.
   void Learn(const JobSpec& spec, const std::string& type, Seconds took);
   // Grows when an expected run time has changed.
--- a/src/scheduling/scheduler.cc
+++ b/src/scheduling/scheduler.cc
@@ -38,7 +38,7 @@
 }
 
 void Scheduler::SetTypes(std::vector<MachineType> types) {
-  for (const MachineType& type : types) state_.boot_times.SetNominalTime(type.name, type.boot);
+  for (const MachineType& type : types) state_.boot_times.SetNominalTime(type.name, type.boot_time);
   state_.autoscaler.SetTypes(std::move(types));
   state_.kinds.RefreshTypes();
   state_.signals.MarkChanged();
@@ -98,7 +98,7 @@
   for (Machine* machine : result.releases) cloud_.Release(*machine);
 }
 
-std::optional<JobProgress> Scheduler::Counts(const JobId& id) const {
+std::optional<JobProgress> Scheduler::GetJobProgress(const JobId& id) const {
   const Job* job = state_.jobs.Find(id);
   if (!state_.term.loaded || job == nullptr) return std::nullopt;
   return ProgressOf(*job);
--- a/src/scheduling/scheduler.h
+++ b/src/scheduling/scheduler.h
@@ -84,7 +84,7 @@
   // All records are loaded. From now on, jobs may still be added and changed by LoadJob.
   void FinishLoad(Instant now);
   // The job's record showed at this revision that the job was cancelled.
-  void Cancelled(const JobId& id, Revision revision) { loader_.OnJobCancelled(id, revision); }
+  void OnCancelled(const JobId& id, Revision revision) { loader_.OnJobCancelled(id, revision); }
   // The job's record was removed at this revision: the job is final.
   void OnJobRemoved(const JobId& id, Revision revision) { loader_.OnJobRemoved(id, revision); }
   // Whether tasks may be started now. A leader that may lack cancellations must not.
@@ -151,8 +151,8 @@
   // Machines on which something may run.
   std::size_t ReachableMachines() const { return CountReachableMachines(state_); }
   // None if the job is unknown or the records are not loaded yet.
-  std::optional<JobProgress> Counts(const JobId& id) const;
-  std::map<JobId, JobProgress> AllProgress() const { return ProgressOfAll(state_); }
+  std::optional<JobProgress> GetJobProgress(const JobId& id) const;
+  std::map<JobId, JobProgress> GetAllJobProgress() const { return ProgressOfAll(state_); }
   SchedulerStatus GetStatus() const { return StatusOf(state_); }
   ReconciliationProgress GetReconciliationProgress() const {
     return ReconciliationOf(state_, writer_.write_in_progress());
--- a/src/scheduling/scheduler_options.h
+++ b/src/scheduling/scheduler_options.h
@@ -22,7 +22,7 @@
   // --- Workers
   Seconds heartbeat_interval{3};
   Seconds lease{30};              // a worker that no controller answers stops its tasks after this
-  Seconds cancel{60};             // no task of a cancelled job may run after this
+  Seconds cancel_deadline{60};    // no task of a cancelled job may run after this
   Seconds heartbeat_timeout{12};  // a silent machine is given up after this
   // Zones with a controller: it renews the workers' leases while the zone is partitioned.
   std::set<std::string> zones_with_controller;
@@ -36,10 +36,10 @@
   // --- Placement and the cloud
   PlacementWeights weights;
   Seconds list_lag{5};             // the cloud's list may be this old
-  Seconds list_every{3};           // interval between two lists
-  Seconds idle{20};                // an idle machine is released after this
+  Seconds list_interval{3};        // interval between two lists
+  Seconds idle_timeout{20};        // an idle machine is released after this
   Seconds min_age{60};             // that the cloud charges for a machine
-  double boot_patience = 4;        // in boot times of the type, before a machine is given up
+  double boot_timeout_factor = 4;  // in boot times of the type, before a machine is given up
   std::uint32_t headroom = 1;      // spare replicas of each class of services
   Seconds headroom_duration{600};  // for which they are kept after the last arrival
   Seconds spot_idle_timeout{90};   // idle spot machines are kept for recent classes
--- a/src/scheduling/scheduler_status.cc
+++ b/src/scheduling/scheduler_status.cc
@@ -28,9 +28,9 @@
   ReconciliationProgress progress;
   progress.machines = state.reconciliation.machines;
   progress.reconciled = state.reconciliation.machines - state.reconciliation.unreconciled;
-  progress.orders = state.counters.commands_issued;
-  progress.quiet = state.term.loaded && state.commands.empty() && state.unpersisted.empty() &&
-                   !write_in_progress;
+  progress.commands_issued = state.counters.commands_issued;
+  progress.idle = state.term.loaded && state.commands.empty() && state.unpersisted.empty() &&
+                  !write_in_progress;
   return progress;
 }
 
--- a/src/scheduling/scheduler_status.h
+++ b/src/scheduling/scheduler_status.h
@@ -22,10 +22,10 @@
 
 // How far the comparison of machines with the records has come since the takeover.
 struct ReconciliationProgress {
-  std::size_t machines = 0;    // that held tasks by the records at the takeover
-  std::size_t reconciled = 0;  // heard of or removed since
-  std::uint64_t orders = 0;    // commands given to workers
-  bool quiet = false;          // no command and no write waits
+  std::size_t machines = 0;           // that held tasks by the records at the takeover
+  std::size_t reconciled = 0;         // heard of or removed since
+  std::uint64_t commands_issued = 0;  // commands given to workers
+  bool idle = false;                  // no command and no write waits
 };
 
 // Counts of what the scheduler has.
--- a/src/scheduling/slow_machine_detector.cc
+++ b/src/scheduling/slow_machine_detector.cc
@@ -16,14 +16,14 @@
   const Seconds took = now - task.since;
   if (!task.overrun_counted) RecordRunTime(machine, job, took, RunEnd::kCompleted);
   // A slow machine says nothing of its type, nor does an attempt that went on from a checkpoint.
-  if (!machine.cordoned && (task.attempt.value == 1 || job.spec.checkpoint.value <= 0))
+  if (!machine.cordoned && (task.attempt.value == 1 || job.spec.checkpoint_interval.value <= 0))
     state_.run_times.Learn(machine, job, took);
 }
 
 void SlowMachineDetector::RecordRunTime(Machine& machine, const Job& job, Seconds took,
                                         RunEnd end) {
   if (job.spec.estimate.value <= 0) return;
-  const auto elsewhere = job.pace.Elsewhere(PaceNumberOf(machine.id));
+  const auto elsewhere = job.pace.MedianOnOtherMachines(PaceNumberOf(machine.id));
   const double expected = elsewhere ? *elsewhere * job.spec.estimate.value
                                     : state_.run_times.ExpectedOnType(job.spec, machine.type).value;
   const double limit = end == RunEnd::kCompleted ? kSlowWhenCompleted : kSlowWhileRunning;
@@ -47,9 +47,10 @@
   state_.signals.RequestInspection();
   for (const HeldTask& held : machine.tasks) {
     const JobSpec& spec = held.job->spec;
-    if (spec.kind != JobKind::kArray || spec.checkpoint.value <= 0 || held.task().stop_requested)
+    if (spec.kind != JobKind::kArray || spec.checkpoint_interval.value <= 0 ||
+        held.task().stop_requested)
       continue;
-    lifecycle_.StopTask(held, spec.save + Seconds{1});
+    lifecycle_.StopTask(held, spec.save_duration + Seconds{1});
   }
   state_.commands.Request(machine);
 }
--- a/src/scheduling/task_placer.cc
+++ b/src/scheduling/task_placer.cc
@@ -19,7 +19,7 @@
   const JobSpec& spec() const { return queued.job->spec; }
   bool is_service() const { return spec().kind == JobKind::kService; }
   // The job may be faulty: it neither preempts nor provisions for what has another place.
-  bool is_limited() const { return queued.max_tasks != FailureAttribution::kAll; }
+  bool is_limited() const { return queued.max_tasks != FailureAttribution::kUnlimited; }
   void CountUsage() { round.usage[spec().team] += spec().per_task; }
   void CountNearUsage() { round.near_usage[spec().team] += spec().per_task; }
 };
@@ -129,16 +129,16 @@
   const auto offer = state_.autoscaler.ChooseMachine(demand, round.machines_by_kind, now);
   if (!offer) return false;
   const Seconds run_time = state_.run_times.ExpectedOnType(job.spec, offer->kind.type);
-  const Seconds min_gain = std::max(kMinGain * offer->type->boot, kMinGain * run_time);
+  const Seconds min_gain = std::max(kMinGain * offer->type->boot_time, kMinGain * run_time);
   if (selection &&
       offer->ready + run_time + min_gain >= selection->option.wait + selection->option.run_time)
     return false;
   ++round.scale_outs[offer->kind];
   ++round.machines_by_kind[offer->kind];
-  const Instant up_at = now + offer->type->boot;
+  const Instant up_at = now + offer->type->boot_time;
   const Instant end = now + offer->ready + run_time;
   PlannedMachine planned{nullptr, state_.kinds.NumberOf(offer->kind),
-                         ResourceTimeline(offer->type->room, up_at), false, true};
+                         ResourceTimeline(offer->type->capacity, up_at), false, true};
   planned.timeline.Reserve(up_at, job.spec.per_task,
                            placement.is_service() ? std::nullopt : std::optional(end));
   round.plan.Add(std::move(planned));
@@ -152,8 +152,8 @@
   for (const Preemption& preemption : preemptions) {
     for (const HeldTask& victim : preemption.victims) {
       const JobSpec& spec = victim.job->spec;
-      const bool saves_its_work = spec.checkpoint.value > 0;
-      lifecycle_.StopTask(victim, saves_its_work ? spec.save + kSaveMargin : Seconds{0});
+      const bool saves_its_work = spec.checkpoint_interval.value > 0;
+      lifecycle_.StopTask(victim, saves_its_work ? spec.save_duration + kSaveMargin : Seconds{0});
       if (state_.decisions.enabled())
         state_.decisions.Add("stop " + spec.id.value + " for " + placement.spec().id.value);
     }
--- a/src/scheduling/task_status_processor.cc
+++ b/src/scheduling/task_status_processor.cc
@@ -13,7 +13,8 @@
 
 // Whether a task in this state has its image on the machine.
 bool HasFetchedImage(const TaskStatus& status) {
-  return status.state != TaskState::kFetching && status.reason != ExitReason::kNoRoom &&
+  return status.state != TaskState::kFetching &&
+         status.reason != ExitReason::kInsufficientCapacity &&
          status.reason != ExitReason::kUnknown && status.reason != ExitReason::kBusy;
 }
 }  // namespace
@@ -39,7 +40,7 @@
 void TaskStatusProcessor::ApplyToUnboundAttempt(Job& job, const TaskStatus& status, Instant now) {
   const Task& task = job.tasks[status.task.index];
   if (status.state == TaskState::kEnded && status.reason == ExitReason::kDone &&
-      (task.state == TaskPhase::kPending || IsDisabled(SafetyCheck::kResultOfUnboundOnly)) &&
+      (task.state == TaskPhase::kPending || IsDisabled(SafetyCheck::kResultOnlyIfUnbound)) &&
       !job.cancelled)
     lifecycle_.SetDone(job, status.task.index, now);
 }
@@ -59,7 +60,8 @@
   if (!running) return;
   slow_machines_.OnRunning(job, index, now);
   if (state_.failure_attribution.HasSuspicion(job.serial))
-    ApplyVerdict(state_.failure_attribution.Ran(job.serial, machine.id, now - task.since));
+    ApplyVerdict(
+        state_.failure_attribution.OnTaskRunning(job.serial, machine.id, now - task.since));
 }
 
 // While the worker lists the attempt as ended, a late `run` of it does nothing; and the worker is
@@ -73,7 +75,7 @@
   // away while the attempt may be running again. It is kept until the worker reports the result
   // anew, within moments as a rule, since the leader's token is new to it, or until the attempt is
   // over in another way.
-  if (machine.seen_token < state_.term.token && !IsDisabled(SafetyCheck::kEndBeforeOurTerm)) {
+  if (machine.seen_token < state_.term.token && !IsDisabled(SafetyCheck::kEndBeforeThisEpoch)) {
     if (status.reason == ExitReason::kDone && task.state == TaskPhase::kBound && !job.cancelled)
       lifecycle_.SetResultUnconfirmed(job, index);
     return;
@@ -83,13 +85,13 @@
       ApplyCompleted(machine, job, index, now);
       return;
     case ExitReason::kError:
-      ApplyVerdict(state_.failure_attribution.Failed(
+      ApplyVerdict(state_.failure_attribution.OnTaskFailed(
           job.serial, machine.id, task.running ? now - task.since : Seconds{}, now));
       break;
     case ExitReason::kUnknown:
       job.not_before = now + kUnknownTaskDelay;
       break;
-    case ExitReason::kNoRoom:
+    case ExitReason::kInsufficientCapacity:
       job.not_before = now + kNoRoomDelay;
       break;
     case ExitReason::kNone:
@@ -102,7 +104,7 @@
 
 void TaskStatusProcessor::ApplyCompleted(Machine& machine, Job& job, std::uint32_t index,
                                          Instant now) {
-  ApplyVerdict(state_.failure_attribution.Ended(job.serial, machine.id));
+  ApplyVerdict(state_.failure_attribution.OnTaskCompleted(job.serial, machine.id));
   slow_machines_.OnCompleted(machine, job, job.tasks[index], now);
   if (job.cancelled)
     lifecycle_.Unbind(job, index, now);
--- a/src/scheduling/write_batch_builder.cc
+++ b/src/scheduling/write_batch_builder.cc
@@ -43,7 +43,7 @@
 bool WriteBatchBuilder::AddFinal(const Job& job, JobOutcome outcome) {
   if (!HasSpaceFor(2, 2)) return false;
   batch_.finals.push_back({job.spec.id, outcome, job.spec.tasks});
-  batch_.jobs[job.spec.id] = job.revision;
+  batch_.expected_job_revisions[job.spec.id] = job.revision;
   operations_ += 2;
   conditions_ += 2;
   return true;
@@ -65,7 +65,8 @@
     task.planned = true;
     ++added;
   }
-  if (added > 0 && batch_.jobs.try_emplace(job.spec.id, job.revision).second) ++conditions_;
+  if (added > 0 && batch_.expected_job_revisions.try_emplace(job.spec.id, job.revision).second)
+    ++conditions_;
   job.unpersisted_tasks.erase(job.unpersisted_tasks.begin(),
                               job.unpersisted_tasks.begin() + static_cast<std::ptrdiff_t>(added));
   return job.unpersisted_tasks.empty();
--- a/tests/agent_test.cc
+++ b/tests/agent_test.cc
@@ -15,7 +15,7 @@
   static Worker::Options DefaultOptions() {
     Worker::Options o;
     o.machine = {"m-1"};
-    o.room = {8, 0, 32};
+    o.capacity = {8, 0, 32};
     o.cache_gb = 10;
     o.heartbeat_interval = {4};
     o.lease = {30};
@@ -33,7 +33,7 @@
   static Command ForgetOf(const TaskId& task, std::uint64_t attempt = 1) {
     return {CommandKind::kForget, task, {attempt}, {}};
   }
-  static Description Job(double cpus = 2, const std::string& image = "img") {
+  static JobDescription Job(double cpus = 2, const std::string& image = "img") {
     return {{cpus, 0, 1}, image, 4, {0}, {0}};
   }
   static Answer Ok(std::uint64_t token, std::vector<Command> commands = {}) {
@@ -42,12 +42,12 @@
 
   // One report and its answer, as soon as one is due.
   void Exchange(const Answer& answer) {
-    now = std::max(now, worker.Wake());
+    now = std::max(now, worker.NextWakeup());
     ASSERT_TRUE(worker.NextHeartbeat(now));
     worker.OnAnswer(answer, now);
   }
   // A task of 2 CPUs that runs.
-  void Started(const TaskId& task, const Description& job = Job()) {
+  void Started(const TaskId& task, const JobDescription& job = Job()) {
     Exchange(Ok(1, {RunOf(task)}));
     worker.OnDescription(task.job, job);
     worker.OnImage(job.image, true);
@@ -83,7 +83,7 @@
   EXPECT_FALSE(worker.NextHeartbeat(now + Seconds{3})) << "the first is on its way";
   worker.OnAnswer(Ok(1, {RunOf(T(0))}), now + Seconds{0.1});
   EXPECT_FALSE(worker.NextHeartbeat(now + Seconds{0.4}));
-  EXPECT_EQ(worker.Wake(), now + Seconds{0.5});
+  EXPECT_EQ(worker.NextWakeup(), now + Seconds{0.5});
   EXPECT_TRUE(worker.NextHeartbeat(now + Seconds{0.5})) << "a task is a change";
   worker.OnAnswer(Ok(1), now + Seconds{0.6});
   EXPECT_FALSE(worker.NextHeartbeat(now + Seconds{4.4})) << "without a change, as it is due";
@@ -95,15 +95,15 @@
     dice = roll;
     Exchange(Ok(1));
     Exchange(Ok(1));
-    EXPECT_NEAR((worker.Wake() - now).value, gap, 1e-9);
+    EXPECT_NEAR((worker.NextWakeup() - now).value, gap, 1e-9);
   }
 }
 
 TEST_F(WorkerTest, FollowsRedirectsAndElseTriesTheNextController) {
   EXPECT_EQ(worker.NextHeartbeat(now)->node, "n0");
   worker.OnAnswer({Answer::Kind::kRedirected, {}, "n2", {}}, now);
-  EXPECT_LE(worker.Wake(), now + Seconds{0.5});
-  now = worker.Wake();
+  EXPECT_LE(worker.NextWakeup(), now + Seconds{0.5});
+  now = worker.NextWakeup();
   EXPECT_EQ(worker.NextHeartbeat(now)->node, "n2");
   // Itself, nobody, one that it does not know, and no answer: the next one, 1 s later.
   const std::vector<Answer> useless = {{Answer::Kind::kRedirected, {}, "n2", {}},
@@ -163,7 +163,7 @@
   Exchange(Ok(1, {RunOf(T(0), 2), RunOf(T(1))}));
   worker.OnDescription({"j-1"}, Job(6));
   EXPECT_EQ(Cause(T(0), 2), ExitReason::kBusy);
-  EXPECT_EQ(Cause(T(1)), ExitReason::kNoRoom) << "its room is not free either";
+  EXPECT_EQ(Cause(T(1)), ExitReason::kInsufficientCapacity) << "its room is not free either";
   worker.OnExit(T(0), {1}, Outcome::kKilled);
   Exchange(Ok(1, {RunOf(T(0), 3)}));
   worker.OnDescription({"j-1"}, Job(6));
@@ -177,7 +177,7 @@
   worker.OnDescription({"j-1"}, Job(6));
   worker.OnDescription({"j-9"}, std::nullopt);
   EXPECT_EQ(Cause(T(0), 2), ExitReason::kBusy);
-  EXPECT_EQ(Cause(T(1)), ExitReason::kNoRoom);
+  EXPECT_EQ(Cause(T(1)), ExitReason::kInsufficientCapacity);
   EXPECT_EQ(Cause(T(0, "j-9")), ExitReason::kUnknown);
   EXPECT_EQ(State(T(0)), TaskState::kRunning) << "undisturbed";
   EXPECT_EQ(Asked(Kind::kStart), 0);
@@ -187,7 +187,7 @@
   Exchange(Ok(1, {RunOf(T(0)), RunOf(T(1))}));
   worker.OnDescription({"j-1"}, Job(5));
   EXPECT_EQ(State(T(0)), TaskState::kFetching);
-  EXPECT_EQ(Cause(T(1)), ExitReason::kNoRoom);
+  EXPECT_EQ(Cause(T(1)), ExitReason::kInsufficientCapacity);
 }
 
 TEST_F(WorkerTest, RepeatedRunStartsNothingUntilItIsForgotten) {
@@ -217,7 +217,7 @@
 }
 
 TEST_F(WorkerTest, SavesACheckpointInTimeAndEndsAtASecondStop) {
-  Description job = Job();
+  JobDescription job = Job();
   job.checkpoint = {10};
   job.save = {2};
   Started(T(0), job);
@@ -263,9 +263,9 @@
   EXPECT_EQ(Asked(Kind::kFetch), 1);
   Exchange(Ok(1, {StopOf(T(0), 0)}));
   EXPECT_EQ(Cause(T(0)), ExitReason::kStopped);
-  EXPECT_EQ(Asked(Kind::kGiveUp), 0);
+  EXPECT_EQ(Asked(Kind::kCancelFetch), 0);
   Exchange(Ok(1, {StopOf(T(1), 0)}));
-  EXPECT_EQ(Asked(Kind::kGiveUp), 1);
+  EXPECT_EQ(Asked(Kind::kCancelFetch), 1);
   worker.OnImage("img", true);  // it was too late to give it up
   Exchange(Ok(1, {RunOf(T(2))}));
   worker.OnDescription({"j-1"}, Job());
@@ -284,41 +284,44 @@
   worker.OnDescription({"j-4"}, Job(2, "four"));
   std::vector<std::string> dropped;
   for (const Effect& e : worker.TakeEffects())
-    if (e.kind == Kind::kDropImage) dropped.push_back(e.image);
+    if (e.kind == Kind::kEvictImage) dropped.push_back(e.image);
   EXPECT_EQ(dropped, (std::vector<std::string>{"two", "three"}));
 }
 
 TEST_F(WorkerTest, DirectCommandsNeedTokenAndEpochAndRenewNothing) {
   Exchange(Ok(5));
   const Instant renewed = now;
-  EXPECT_EQ(worker.OnDirect({}, 1, {RunOf(T(0))}, now).status, 400);
-  EXPECT_EQ(worker.OnDirect(FencingToken{5}, {}, {RunOf(T(0))}, now).status, 400);
-  EXPECT_EQ(worker.OnDirect(FencingToken{4}, 1, {RunOf(T(0))}, now).status, 409);
-  EXPECT_EQ(worker.OnDirect(FencingToken{5}, 2, {RunOf(T(0))}, now).status, 409);
+  EXPECT_EQ(worker.OnDirectCommand({}, 1, {RunOf(T(0))}, now).status, 400);
+  EXPECT_EQ(worker.OnDirectCommand(FencingToken{5}, {}, {RunOf(T(0))}, now).status, 400);
+  EXPECT_EQ(worker.OnDirectCommand(FencingToken{4}, 1, {RunOf(T(0))}, now).status, 409);
+  EXPECT_EQ(worker.OnDirectCommand(FencingToken{5}, 2, {RunOf(T(0))}, now).status, 409);
   EXPECT_TRUE(worker.Inspect().tasks.empty());
-  const DirectAnswer answer = worker.OnDirect(FencingToken{6}, 1, {RunOf(T(0))}, now + Seconds{20});
+  const DirectCommandReply answer =
+      worker.OnDirectCommand(FencingToken{6}, 1, {RunOf(T(0))}, now + Seconds{20});
   EXPECT_EQ(answer.status, 200);
   EXPECT_EQ(answer.heartbeat.tasks.size(), 1U);
   EXPECT_EQ(answer.heartbeat.token.value, 6U);
   worker.CheckLease(renewed + Seconds{30.1});
   EXPECT_EQ(worker.agent_epoch(), 2U);
-  EXPECT_EQ(worker.OnDirect(FencingToken{6}, 1, {RunOf(T(1))}, now).status, 409) << "it came late";
+  EXPECT_EQ(worker.OnDirectCommand(FencingToken{6}, 1, {RunOf(T(1))}, now).status, 409)
+      << "it came late";
 }
 
 // Two nodes that contend for the lead would have all workers report all the time.
 TEST_F(WorkerTest, HigherTokenIsAChangeOncePerHalfALease) {
   Exchange(Ok(1));
   Exchange(Ok(1));  // tells the first one
-  worker.OnDirect(FencingToken{2}, 1, {}, now);
-  EXPECT_GT(worker.Wake(), now + Seconds{0.5}) << "token 1 was told just now";
-  worker.OnDirect(FencingToken{3}, 1, {}, now + Seconds{15});
-  EXPECT_EQ(worker.Wake(), now + Seconds{0.5});
+  worker.OnDirectCommand(FencingToken{2}, 1, {}, now);
+  EXPECT_GT(worker.NextWakeup(), now + Seconds{0.5}) << "token 1 was told just now";
+  worker.OnDirectCommand(FencingToken{3}, 1, {}, now + Seconds{15});
+  EXPECT_EQ(worker.NextWakeup(), now + Seconds{0.5});
 }
 
 TEST_F(WorkerTest, SequenceNumbersIncrease) {
   std::uint64_t last = 0;
   for (int i = 0; i < 3; ++i) {
-    const std::uint64_t direct = worker.OnDirect(FencingToken{1}, 1, {}, now).heartbeat.sequence;
+    const std::uint64_t direct =
+        worker.OnDirectCommand(FencingToken{1}, 1, {}, now).heartbeat.sequence;
     const std::uint64_t inspected = worker.Inspect().sequence;
     EXPECT_GT(direct, last);
     EXPECT_GT(inspected, direct);
--- a/tests/boot_time_test.cc
+++ b/tests/boot_time_test.cc
@@ -52,7 +52,7 @@
 class MachineBootTest : public ClusterTest {
  protected:
   // Orders are filled with machines that come up after a while, or never.
-  int Orders(Node& node) {
+  int Orders(TestController& node) {
     int orders = 0;
     while (auto call = node.core.NextCloudCall(now)) {
       if (call->kind == CloudCall::Kind::kList) node.core.OnList({}, now);
@@ -62,7 +62,7 @@
       }
       if (call->kind != CloudCall::Kind::kProvision) continue;
       std::vector<MachineId> names;
-      for (std::uint32_t i = 0; i < call->order.count; ++i)
+      for (std::uint32_t i = 0; i < call->scale_out.count; ++i)
         names.push_back({"vm-" + std::to_string(++rented)});
       node.core.OnProvisioned(*call, names, now);
       ++orders;
@@ -74,7 +74,7 @@
 };
 
 TEST_F(MachineBootTest, MachineThatNeverBootsIsReplacedAndReleased) {
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   ASSERT_TRUE(node.TakeOver(now));
   Run(node, MakeJob("j-1"));
   int orders = 0;
@@ -84,7 +84,7 @@
     if (i == 80) {
       EXPECT_EQ(released, 0U) << "not before it is late by far";
     }
-    Pass(0.5);
+    AdvanceTime(0.5);
   }
   EXPECT_GE(rented, 2);
   EXPECT_LE(rented, 4) << "no storm of orders";
@@ -93,18 +93,18 @@
 }
 
 TEST_F(MachineBootTest, QuickBootsAreRentedForUrgentWork) {
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   ASSERT_TRUE(node.TakeOver(now));
   for (int i = 0; i < 8; ++i) {
     if (i < 4) Run(node, MakeJob("j-" + std::to_string(i), 2));
     Settle(node, 1);
     Orders(node);
-    Pass(1);
+    AdvanceTime(1);
     while (workers_.size() < static_cast<std::size_t>(rented))
       AddWorker("vm-" + std::to_string(workers_.size() + 1), "small");
     Settle(node);
   }
-  ASSERT_EQ(LiveEverywhere(), 8U);
+  ASSERT_EQ(CountLiveTasks(), 8U);
   JobSpec bindings_unpersisted = MakeJob("j-9", 2);
   bindings_unpersisted.deadline = Seconds{38};  // 30 to run: no usual boot and fetch could meet it
   const int before = rented;
--- a/tests/cancellation_test.cc
+++ b/tests/cancellation_test.cc
@@ -142,7 +142,7 @@
 // know; and the second step is never there before that.
 TEST_F(CancellationTest, ControllerCrashesAtEachOfItsWrites) {
   for (const auto fault :
-       {FakeStore::Fault::kRefuse, FakeStore::Fault::kLoseAnswer, FakeStore::Fault::kLandLater})
+       {FakeStore::Fault::kRefuse, FakeStore::Fault::kLoseResponse, FakeStore::Fault::kCommitLate})
     for (int at = 0; at < 2; ++at) {
       SCOPED_TRACE(std::to_string(static_cast<int>(fault)) + " at " + std::to_string(at));
       SimulatedCluster world;
@@ -153,16 +153,16 @@
       const std::string teller = lead == "n0" ? "n1" : "n0";
       const std::string third = lead == "n2" ? "n1" : "n2";
       world.controllers.at(lead)->store.refused = true;
-      world.store.at_the_end = fault;
-      world.store.commits_until_end = at;
-      EXPECT_THROW(world.Cancel("j-1", teller), FakeStore::Ended);
+      world.store.crash_fault = fault;
+      world.store.commits_until_crash = at;
+      EXPECT_THROW(world.Cancel("j-1", teller), FakeStore::Crashed);
       world.StopController(teller);
       world.StartController(teller);
       if (at == 1) {
         world.partitions.insert({third, lead});  // it can't ask the leader itself
       }
       world.AdvanceSeconds(1);
-      while (world.store.holds_back()) world.store.Deliver();
+      while (world.store.has_delayed_transactions()) world.store.DeliverDelayed();
       const std::string mood_at_third = world.Poll("j-1", third);
       EXPECT_EQ(mood_at_third == "withdrawn", at == 1 && fault != FakeStore::Fault::kRefuse);
       world.store.outage = true;
@@ -236,7 +236,7 @@
 // What it is told does not reach it, by whatever way: its lease ends by itself.
 TEST_F(CancellationTest, WorkerWithoutResponsesLosesItsLease) {
   Begin();
-  for (auto& m : cluster.machines) m.receives_nothing = m.worker.Has({{"j-1"}, 0});
+  for (auto& m : cluster.machines) m.receives_nothing = m.worker.HasLiveTask({{"j-1"}, 0});
   RefuseLeaderThenStartOutage();
   ASSERT_EQ(state, "withdrawn");
   ExpectNoViolationAfterTheDeadline();
@@ -273,7 +273,7 @@
   EXPECT_TRUE(answer.at("calls").empty());
   // It hears of a cancellation: the next answer has a stop for each task of it.
   ASSERT_TRUE(keeper.cancellations.Record(
-      JobCache::Cancellation{{"j-1"}, {cluster.store.tick().value + 1}}));
+      JobCache::Cancellation{{"j-1"}, {cluster.store.current_revision().value + 1}}));
   std::size_t listed = 0;
   for (const TaskStatus& t : heartbeat.tasks) listed += t.task.job.value == "j-1" ? 1 : 0;
   ASSERT_GT(listed, 0U);
@@ -378,8 +378,8 @@
   magpie::HeartbeatResponse reply;
   reply.commands = {{CommandKind::kRun, {{"j-7"}, 0}, {1}, {}},
                     {CommandKind::kRun, {{"j-8"}, 0}, {1}, {}}};
-  ASSERT_TRUE(
-      run.cancellations.Record(JobCache::Cancellation{{"j-7"}, {cluster.store.tick().value + 1}}));
+  ASSERT_TRUE(run.cancellations.Record(
+      JobCache::Cancellation{{"j-7"}, {cluster.store.current_revision().value + 1}}));
   const auto answer = run.cancellations.CompleteResponse(heartbeat, reply);
   ASSERT_TRUE(answer);
   ASSERT_EQ(answer->commands.size(), 1U);
@@ -408,7 +408,7 @@
   run.store.refused = true;
   cluster.AdvanceSeconds(1);
   std::uint64_t kept = 0;
-  const std::uint64_t from = cluster.store.tick().value + 1000;
+  const std::uint64_t from = cluster.store.current_revision().value + 1000;
   while (kept < 100000 && run.cancellations.Record(JobCache::Cancellation{
                               {"j-9" + std::to_string(kept)}, {from + kept}}))
     ++kept;
--- a/tests/codec_test.cc
+++ b/tests/codec_test.cc
@@ -36,8 +36,8 @@
 class SubmissionValidationTest : public ClusterTest {};
 
 TEST_F(SubmissionValidationTest, MalformedSubmissionsChangeNothing) {
-  Node& node = AddNode("n0");
-  const Revision before = store.tick();
+  TestController& node = AddController("n0");
+  const Revision before = store.current_revision();
   for (const char* body : {"", "x", "[]", "null", "{}", "{\"id\":", "\xff\xfe"})
     EXPECT_EQ(node.api.Submit(body).status, 400) << body;
   EXPECT_EQ(node.api.Submit(std::string(60000, '[')).status, 400);
@@ -75,11 +75,11 @@
     body.erase(field);
     EXPECT_EQ(node.api.Submit(body.dump()).status, 400) << field;
   }
-  EXPECT_EQ(store.tick(), before);
+  EXPECT_EQ(store.current_revision(), before);
 }
 
 TEST_F(SubmissionValidationTest, JobsThatCanNeverRunAreRejected) {
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   auto status = [&](auto change) {
     JobSpec spec = MakeJob("j-9");
     change(spec);
--- a/tests/decision_digest.h
+++ b/tests/decision_digest.h
@@ -111,9 +111,9 @@
     case CloudCall::Kind::kRelease:
       return "release " + protocol::MachineIdsToJson(call.release).dump();
     case CloudCall::Kind::kProvision:
-      return "rent " + protocol::ProvisionToJson(call.order.name, call.order.kind.type,
-                                                 call.order.kind.zone, call.order.kind.spot,
-                                                 call.order.count)
+      return "rent " + protocol::ProvisionToJson(call.scale_out.name, call.scale_out.kind.type,
+                                                 call.scale_out.kind.zone, call.scale_out.kind.spot,
+                                                 call.scale_out.count)
                            .dump();
   }
   return "unknown";
--- a/tests/failure_attribution_test.cc
+++ b/tests/failure_attribution_test.cc
@@ -14,57 +14,58 @@
 TEST(FailureAttributionTest, JobThatFailsEverywhereIsAtFault) {
   FailureAttribution blame;
   Instant now{10};
-  EXPECT_EQ(blame.Failed(1, kM1, kLife, now).suspected.size(), 1U);
+  EXPECT_EQ(blame.OnTaskFailed(1, kM1, kLife, now).suspected.size(), 1U);
   EXPECT_GT(blame.SuspectedUntil(kM1), now);
-  EXPECT_EQ(blame.MaxConcurrentTasks(1), FailureAttribution::kAll)
+  EXPECT_EQ(blame.MaxConcurrentTasks(1), FailureAttribution::kUnlimited)
       << "one failure may be the machine's";
-  blame.Failed(1, kM2, kLife, now);
-  EXPECT_LT(blame.MaxConcurrentTasks(1), FailureAttribution::kAll);
-  const FailureAttribution::Verdict verdict = blame.Failed(1, kM3, kLife, now);
+  blame.OnTaskFailed(1, kM2, kLife, now);
+  EXPECT_LT(blame.MaxConcurrentTasks(1), FailureAttribution::kUnlimited);
+  const FailureAttribution::Verdict verdict = blame.OnTaskFailed(1, kM3, kLife, now);
   EXPECT_TRUE(verdict.faulty.empty() && verdict.suspected.empty());
   EXPECT_TRUE(blame.Wrong(1));
   EXPECT_EQ(blame.MaxConcurrentTasks(1), 1U);
   for (const MachineId& m : {kM1, kM2, kM3}) EXPECT_LE(blame.SuspectedUntil(m), now);
   // Another wrong job on the same machine does not add up with it.
-  EXPECT_TRUE(blame.Failed(2, kM1, kLife, now).faulty.empty());
+  EXPECT_TRUE(blame.OnTaskFailed(2, kM1, kLife, now).faulty.empty());
 }
 
 TEST(FailureAttributionTest, MachineWhereDifferentJobsFailIsAtFault) {
   FailureAttribution blame;
-  blame.Failed(1, kM1, kLife, {10});
-  EXPECT_TRUE(blame.Failed(1, kM1, kLife, {11}).faulty.empty()) << "one job alone";
-  EXPECT_EQ(blame.Failed(2, kM1, kLife, {12}).faulty, std::vector{kM1});
+  blame.OnTaskFailed(1, kM1, kLife, {10});
+  EXPECT_TRUE(blame.OnTaskFailed(1, kM1, kLife, {11}).faulty.empty()) << "one job alone";
+  EXPECT_EQ(blame.OnTaskFailed(2, kM1, kLife, {12}).faulty, std::vector{kM1});
 }
 
 TEST(FailureAttributionTest, CompletedTaskClearsItsMachine) {
   FailureAttribution blame;
-  blame.Failed(1, kM1, kLife, {10});
-  EXPECT_TRUE(blame.Ended(2, kM1).faulty.empty());
+  blame.OnTaskFailed(1, kM1, kLife, {10});
+  EXPECT_TRUE(blame.OnTaskCompleted(2, kM1).faulty.empty());
   EXPECT_EQ(blame.SuspectedUntil(kM1), Instant{});
-  EXPECT_TRUE(blame.Failed(3, kM1, kLife, {12}).faulty.empty());
-  EXPECT_TRUE(blame.Ended(1, kM2).faulty.empty()) << "it had completed another's since";
+  EXPECT_TRUE(blame.OnTaskFailed(3, kM1, kLife, {12}).faulty.empty());
+  EXPECT_TRUE(blame.OnTaskCompleted(1, kM2).faulty.empty()) << "it had completed another's since";
 }
 
 TEST(FailureAttributionTest, JobThatSucceedsRunsAtOnceAndImplicatesEarlierMachines) {
   FailureAttribution blame;
-  for (const MachineId& m : {kM1, kM2, kM3}) blame.Failed(1, m, kLife, {10});
+  for (const MachineId& m : {kM1, kM2, kM3}) blame.OnTaskFailed(1, m, kLife, {10});
   ASSERT_GT(blame.NotBefore(1), Instant{10});
-  EXPECT_TRUE(blame.Ran(1, {"m-4"}, {7}).faulty.empty()) << "not much longer than its failures";
-  EXPECT_EQ(blame.Ran(1, {"m-4"}, {9}).faulty.size(), 3U);
-  EXPECT_EQ(blame.MaxConcurrentTasks(1), FailureAttribution::kAll);
+  EXPECT_TRUE(blame.OnTaskRunning(1, {"m-4"}, {7}).faulty.empty())
+      << "not much longer than its failures";
+  EXPECT_EQ(blame.OnTaskRunning(1, {"m-4"}, {9}).faulty.size(), 3U);
+  EXPECT_EQ(blame.MaxConcurrentTasks(1), FailureAttribution::kUnlimited);
   EXPECT_EQ(blame.NotBefore(1), Instant{});
-  EXPECT_EQ(blame.Failed(1, kM2, kLife, {20}).faulty, std::vector{kM2});
+  EXPECT_EQ(blame.OnTaskFailed(1, kM2, kLife, {20}).faulty, std::vector{kM2});
 }
 
 TEST(FailureAttributionTest, BackoffOfAFaultyJobIsBoundedAndCountsRounds) {
   FailureAttribution blame;
   Instant now{10};
-  for (int i = 0; i < 100; ++i) blame.Failed(1, {"m-" + std::to_string(i)}, kLife, now);
+  for (int i = 0; i < 100; ++i) blame.OnTaskFailed(1, {"m-" + std::to_string(i)}, kLife, now);
   EXPECT_EQ((blame.NotBefore(1) - now).value, 1);
   double last = 0;
   for (int i = 0; i < 10; ++i) {
     now = blame.NotBefore(1);
-    blame.Failed(1, kM1, kLife, now);
+    blame.OnTaskFailed(1, kM1, kLife, now);
     const double pause = (blame.NotBefore(1) - now).value;
     EXPECT_GE(pause, last);
     last = pause;
@@ -74,9 +75,9 @@
 
 TEST(FailureAttributionTest, SuspicionLastsLongerEachTimeAndEndsWithItsReason) {
   FailureAttribution blame;
-  blame.Failed(1, kM1, kLife, {10});
+  blame.OnTaskFailed(1, kM1, kLife, {10});
   const Seconds first = blame.SuspectedUntil(kM1) - Instant{10};
-  blame.Failed(1, kM1, kLife, {20});
+  blame.OnTaskFailed(1, kM1, kLife, {20});
   EXPECT_GT(blame.SuspectedUntil(kM1) - Instant{20}, first);
   blame.Forget(1);  // cancelled
   EXPECT_EQ(blame.SuspectedUntil(kM1), Instant{});
@@ -85,12 +86,12 @@
 
 TEST(FailureAttributionTest, ManyAttemptsBeforeATakeoverCountAsAFew) {
   FailureAttribution blame;
-  blame.Recalled(1, {3});
-  EXPECT_EQ(blame.MaxConcurrentTasks(1), FailureAttribution::kAll);
-  blame.Recalled(1, {9});
+  blame.OnAttemptsLoaded(1, {3});
+  EXPECT_EQ(blame.MaxConcurrentTasks(1), FailureAttribution::kUnlimited);
+  blame.OnAttemptsLoaded(1, {9});
   EXPECT_EQ(blame.MaxConcurrentTasks(1), 2U);
-  blame.Ended(1, kM1);
-  EXPECT_EQ(blame.MaxConcurrentTasks(1), FailureAttribution::kAll);
+  blame.OnTaskCompleted(1, kM1);
+  EXPECT_EQ(blame.MaxConcurrentTasks(1), FailureAttribution::kUnlimited);
 }
 
 class FaultyJobTest : public ClusterTest {};
@@ -99,46 +100,46 @@
 // while one of its tasks still ran elsewhere it was taken for healthy, and a healthy
 // machine was given up for each of the others.
 TEST_F(FaultyJobTest, LargeFaultyArrayCostsNoMachineAndNoCapacity) {
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   std::list<FakeWorker*> workers;
   for (int i = 0; i < 8; ++i) workers.push_back(&AddWorker("m-" + std::to_string(i)));
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
   Run(node, MakeJob("j-1", 16));
   Settle(node);
-  ASSERT_EQ(LiveEverywhere(), 16U);
+  ASSERT_EQ(CountLiveTasks(), 16U);
   for (FakeWorker* w : workers) {
     w->EndAll(ExitReason::kError);
     Heartbeat(node, *w);
-    Pass(0.01);
+    AdvanceTime(0.01);
   }
   Run(node, MakeJob("j-2", 16));
   Settle(node);
-  EXPECT_TRUE(Released(RunCloud(node)).empty());
+  EXPECT_TRUE(ReleasedMachines(RunCloud(node)).empty());
   std::size_t wrong = 0;
   std::size_t healthy = 0;
   for (FakeWorker* w : workers)
     for (std::uint32_t i = 0; i < 16; ++i) {
-      wrong += w->Has({{"j-1"}, i}) ? 1 : 0;
-      healthy += w->Has({{"j-2"}, i}) ? 1 : 0;
+      wrong += w->HasLiveTask({{"j-1"}, i}) ? 1 : 0;
+      healthy += w->HasLiveTask({{"j-2"}, i}) ? 1 : 0;
     }
   EXPECT_EQ(wrong, 0U);
   EXPECT_EQ(healthy, 16U);
   // Its next try is one task, and cancelled it is gone at once.
   for (FakeWorker* w : workers) w->EndAll(ExitReason::kDone);
-  Pass(31);
+  AdvanceTime(31);
   Settle(node);
-  EXPECT_EQ(LiveEverywhere(), 1U);
+  EXPECT_EQ(CountLiveTasks(), 1U);
   EXPECT_EQ(node.api.Cancel("j-1").status, 200);
   node.ReadJobs();
   Settle(node);
-  EXPECT_EQ(LiveEverywhere(), 0U);
+  EXPECT_EQ(CountLiveTasks(), 0U);
   EXPECT_EQ(node.State("j-1"), "withdrawn");
 }
 
 // The same while some machines really are sick, and with a new leader in the middle.
 TEST_F(FaultyJobTest, FaultyMachinesAreFoundAmongFaultyJobsAndAfterATakeover) {
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   std::list<FakeWorker*> workers;
   for (int i = 0; i < 8; ++i) workers.push_back(&AddWorker("m-" + std::to_string(i)));
   const auto sick = [](const FakeWorker& w) {
@@ -149,7 +150,7 @@
   Run(node, MakeJob("j-1", 8));   // wrong
   Run(node, MakeJob("j-2", 16));  // well, and more than the healthy machines hold
   std::set<MachineId> released;
-  const auto play = [&](Node& leader, int rounds) {
+  const auto play = [&](TestController& leader, int rounds) {
     for (int i = 0; i < rounds; ++i) {
       Settle(leader, 1);
       for (FakeWorker* w : workers)
@@ -157,14 +158,14 @@
           w->End({{"j-1"}, t}, ExitReason::kError);
           if (sick(*w)) w->EndAll(ExitReason::kError);
         }
-      for (const MachineId& id : Released(RunCloud(leader))) released.insert(id);
+      for (const MachineId& id : ReleasedMachines(RunCloud(leader))) released.insert(id);
       std::erase_if(workers, [&](FakeWorker* w) { return released.contains(w->id()); });
-      Pass(1);
+      AdvanceTime(1);
     }
   };
   play(node, 6);
   store.ExpireLeases();
-  Node& next = AddNode("n1");
+  TestController& next = AddController("n1");
   ASSERT_TRUE(next.TakeOver(now));
   play(next, 12);
   for (FakeWorker* w : workers)
--- a/tests/failure_detection_test.cc
+++ b/tests/failure_detection_test.cc
@@ -9,16 +9,16 @@
 class FailureDetectionTest : public ClusterTest {};
 
 TEST_F(FailureDetectionTest, NewAgentEpochMeansThatAllTasksAreLost) {
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   FakeWorker& w = AddWorker("m-1");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
   Run(node, MakeJob("j-1"));
   Settle(node);
-  ASSERT_EQ(w.Live(), 1U);
-  w.LeaseEnds();
+  ASSERT_EQ(w.LiveTaskCount(), 1U);
+  w.ExpireLease();
   Settle(node);
-  EXPECT_EQ(w.Live(), 1U);
+  EXPECT_EQ(w.LiveTaskCount(), 1U);
   EXPECT_EQ(w.starts[TaskOf("j-1")], 2);
   w.EndAll(ExitReason::kDone);
   Settle(node);
@@ -26,7 +26,7 @@
 }
 
 TEST_F(FailureDetectionTest, CancelledTaskOnASilentMachineIsFencedInTime) {
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   FakeWorker& w = AddWorker("m-1");
   FakeWorker& other = AddWorker("m-2");
   FakeWorker& third = AddWorker("m-3");
@@ -34,14 +34,14 @@
   Settle(node);
   Run(node, MakeJob("j-1"));
   Settle(node);
-  ASSERT_EQ(LiveEverywhere(), 1U);
-  FakeWorker& holder = w.Live() != 0 ? w : other.Live() != 0 ? other : third;
-  silent_.insert(holder.id());
+  ASSERT_EQ(CountLiveTasks(), 1U);
+  FakeWorker& holder = w.LiveTaskCount() != 0 ? w : other.LiveTaskCount() != 0 ? other : third;
+  unresponsive_workers_.insert(holder.id());
   ASSERT_EQ(node.api.Cancel("j-1").status, 200);
   node.ReadJobs();
   bool released = false;
   for (int i = 0; i < 14 && !released; ++i) {
-    Pass(3);
+    AdvanceTime(3);
     Settle(node, 1);
     for (const CloudCall& call : RunCloud(node))
       for (const MachineId& id : call.release) released |= id == holder.id();
@@ -50,41 +50,41 @@
 }
 
 TEST_F(FailureDetectionTest, TasksOfASilentMachineMoveOnlyOnceItIsReleased) {
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   FakeWorker& w = AddWorker("m-1");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
   Run(node, MakeJob("j-1"));
   Settle(node);
-  ASSERT_EQ(w.Live(), 1U);
+  ASSERT_EQ(w.LiveTaskCount(), 1U);
   AddWorker("m-2");
   AddWorker("m-3");
-  silent_.insert(w.id());
-  Pass(6);
+  unresponsive_workers_.insert(w.id());
+  AdvanceTime(6);
   Settle(node);
   RunCloud(node);  // an empty list: the machine's absence proves nothing
-  Pass(7);
+  AdvanceTime(7);
   Settle(node, 1);
-  Pass(2);  // heard again, the others put the zone in doubt no longer
+  AdvanceTime(2);  // heard again, the others put the zone in doubt no longer
   Settle(node, 1);
-  EXPECT_EQ(LiveEverywhere(), 1U);
+  EXPECT_EQ(CountLiveTasks(), 1U);
   bool released = false;
   for (const CloudCall& call : RunCloud(node))
     for (const MachineId& id : call.release) released |= id == w.id();
   ASSERT_TRUE(released);
   Settle(node);
-  EXPECT_EQ(LiveEverywhere(), 2U) << "one of them on the machine that is gone";
+  EXPECT_EQ(CountLiveTasks(), 2U) << "one of them on the machine that is gone";
 }
 
 TEST_F(FailureDetectionTest, PartitionedLeaderDoesNotReleaseAllMachines) {
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   for (int i = 0; i < 4; ++i) AddWorker("m-" + std::to_string(i));
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
   Run(node, MakeJob("j-1", 4));
   Settle(node);
-  for (FakeWorker& w : workers_) silent_.insert(w.id());
-  Pass(20);
+  for (FakeWorker& w : workers_) unresponsive_workers_.insert(w.id());
+  AdvanceTime(20);
   Settle(node);
   for (const CloudCall& call : RunCloud(node)) EXPECT_TRUE(call.release.empty());
 }
@@ -92,7 +92,7 @@
 // Found on a day of two cut zones: workers that another controller had once
 // relayed for stayed with it for good, out of the leader's direct reach.
 TEST_F(FailureDetectionTest, RelayedWorkerIsRedirectedOnceItIsReachable) {
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   FakeWorker& w = AddWorker("m-1");
   ASSERT_TRUE(node.TakeOver(now));
   Heartbeat(node, w);
@@ -101,7 +101,7 @@
   ASSERT_TRUE(probe.has_value());
   node.core.OnDirectCommandResult(*probe, DeliveryStatus::kNotSent, std::nullopt, now);
   EXPECT_FALSE(node.core.OnHeartbeat(w.Snapshot(), now, true).redirect_to_leader);
-  Pass(3);
+  AdvanceTime(3);
   probe = node.core.NextProbe(now);
   ASSERT_TRUE(probe.has_value());
   w.Take(*probe);
@@ -111,19 +111,19 @@
 }
 
 TEST_F(FailureDetectionTest, MachineListedAsFailedFreesItsTasks) {
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   FakeWorker& w = AddWorker("m-1");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
   Run(node, MakeJob("j-1"));
   Settle(node);
-  silent_.insert(w.id());
+  unresponsive_workers_.insert(w.id());
   AddWorker("m-2");
   listed = {{w.id(), "x", "small", "a", false, ListedMachine::State::kFailed, {50}}};
-  Pass(4);
+  AdvanceTime(4);
   RunCloud(node);
   Settle(node);
-  EXPECT_EQ(workers_.back().Live(), 1U);
+  EXPECT_EQ(workers_.back().LiveTaskCount(), 1U);
 }
 
 }  // namespace
--- a/tests/fake_key_value_store.h
+++ b/tests/fake_key_value_store.h
@@ -16,21 +16,21 @@
  public:
   enum class Fault {
     kNone,
-    kRefuse,      // 503: not carried out
-    kLoseAnswer,  // carried out, but the answer is lost
-    kLandLater,   // held back on its way; Deliver() carries it out
+    kRefuse,        // 503: not carried out
+    kLoseResponse,  // carried out, but the answer is lost
+    kCommitLate,    // held back on its way; Deliver() carries it out
   };
   // The fault of the next commit; those after it are healthy again.
   Fault next_commit = Fault::kNone;
   // The process that makes the commit after so many more ends at it (it throws), while
   // the commit itself fares as the fault says.
-  struct Ended {};
-  int commits_until_end = -1;
-  Fault at_the_end = Fault::kNone;
+  struct Crashed {};
+  int commits_until_crash = -1;
+  Fault crash_fault = Fault::kNone;
   bool outage = false;
   int commits = 0;
   int watches = 0;
-  Revision forgotten;  // changes before this one are not told any more
+  Revision compacted_before;  // changes before this one are not told any more
 
   // What happens just before the next look at a key.
   std::function<void()> before_get;
@@ -66,24 +66,24 @@
   TransactionResult Commit(const Transaction& txn) override {
     if (outage) return {StoreStatus::kRefused, {}, {}, false};
     Fault fault = std::exchange(next_commit, Fault::kNone);
-    const bool ends = commits_until_end >= 0 && commits_until_end-- == 0;
+    const bool ends = commits_until_crash >= 0 && commits_until_crash-- == 0;
     if (ends) {
-      if (at_the_end == Fault::kLandLater) late_.push_back(txn);
-      if (at_the_end == Fault::kLoseAnswer) Carry(txn);
-      throw Ended{};
+      if (crash_fault == Fault::kCommitLate) late_.push_back(txn);
+      if (crash_fault == Fault::kLoseResponse) Carry(txn);
+      throw Crashed{};
     }
     if (fault == Fault::kRefuse) return {StoreStatus::kRefused, {}, {}, false};
-    if (fault == Fault::kLandLater) {
+    if (fault == Fault::kCommitLate) {
       late_.push_back(txn);
       return {};
     }
     TransactionResult result = Carry(txn);
-    return fault == Fault::kLoseAnswer ? TransactionResult{} : result;
+    return fault == Fault::kLoseResponse ? TransactionResult{} : result;
   }
 
-  bool holds_back() const { return !late_.empty(); }
+  bool has_delayed_transactions() const { return !late_.empty(); }
   // Carries out what was held back; false when its conditions hold no more.
-  bool Deliver() {
+  bool DeliverDelayed() {
     const Transaction txn = late_.front();
     late_.pop_front();
     return Carry(txn).status == StoreStatus::kOk;
@@ -103,7 +103,7 @@
   WatchResult Watch(const std::string& prefix, Revision after, Seconds) override {
     ++watches;
     if (outage) return {StoreStatus::kRefused, false, {}, {}};
-    WatchResult result{StoreStatus::kOk, after < forgotten, {}, tick_};
+    WatchResult result{StoreStatus::kOk, after < compacted_before, {}, tick_};
     const auto first =
         std::upper_bound(log_.begin(), log_.end(), after,
                          [](Revision s, const WatchEvent& e) { return s < e.revision; });
@@ -130,7 +130,7 @@
     std::erase_if(keys_, attached);
   }
 
-  Revision tick() const { return tick_; }
+  Revision current_revision() const { return tick_; }
 
  private:
   struct HeldTask {
--- a/tests/fake_worker.h
+++ b/tests/fake_worker.h
@@ -34,7 +34,7 @@
   }
 
   // The response to a report; dropped when its token is too low.
-  bool Take(const HeartbeatResponse& reply) {
+  bool Deliver(const HeartbeatResponse& reply) {
     if (!reply.accepted || reply.token < heartbeat_.token) return false;
     heartbeat_.token = reply.token;
     for (const Command& c : reply.commands) Execute(c);
@@ -51,7 +51,7 @@
     return true;
   }
 
-  void LeaseEnds() {
+  void ExpireLease() {
     ++heartbeat_.agent_epoch;
     heartbeat_.tasks.clear();
   }
@@ -66,8 +66,8 @@
     heartbeat_.token = {};
   }
 
-  void Notice(Seconds left) { heartbeat_.preemption_notice = left; }
-  void NoNotice() { heartbeat_.preemption_notice.reset(); }
+  void SetPreemptionNotice(Seconds left) { heartbeat_.preemption_notice = left; }
+  void ClearPreemptionNotice() { heartbeat_.preemption_notice.reset(); }
 
   void End(const TaskId& task, ExitReason reason) {
     for (TaskStatus& t : heartbeat_.tasks)
@@ -84,17 +84,17 @@
       }
   }
 
-  bool Has(const TaskId& task) const {
+  bool HasLiveTask(const TaskId& task) const {
     for (const TaskStatus& t : heartbeat_.tasks)
       if (t.task == task && t.state != TaskState::kEnded) return true;
     return false;
   }
-  std::size_t Live() const {
+  std::size_t LiveTaskCount() const {
     std::size_t n = 0;
     for (const TaskStatus& t : heartbeat_.tasks) n += t.state != TaskState::kEnded ? 1 : 0;
     return n;
   }
-  std::size_t Listed() const { return heartbeat_.tasks.size(); }
+  std::size_t ReportedTaskCount() const { return heartbeat_.tasks.size(); }
   const std::vector<TaskStatus>& tasks() const { return heartbeat_.tasks; }
   const std::string& zone() const { return heartbeat_.zone; }
   bool spot() const { return heartbeat_.spot; }
@@ -105,7 +105,7 @@
     auto it = heartbeat_.tasks.begin();
     while (it != heartbeat_.tasks.end() && (it->task != c.task || it->attempt != c.attempt)) ++it;
     const bool known = it != heartbeat_.tasks.end();
-    if (c.kind == CommandKind::kRun && !known && Has(c.task)) {
+    if (c.kind == CommandKind::kRun && !known && HasLiveTask(c.task)) {
       // Refused: it is here with another attempt.
       heartbeat_.tasks.push_back({c.task, c.attempt, TaskState::kEnded, ExitReason::kBusy, false});
     } else if (c.kind == CommandKind::kRun && !known) {
--- a/tests/faulty_store.h
+++ b/tests/faulty_store.h
@@ -15,9 +15,9 @@
 
 // A fault of one call to the key-value store.
 struct InjectedFault {
-  Seconds before;     // delay until the call is carried out
-  Seconds after;      // delay until its answer arrives
-  bool lost = false;  // the answer is lost
+  Seconds request_delay;       // delay until the call is carried out
+  Seconds response_delay;      // delay until its answer arrives
+  bool response_lost = false;  // the answer is lost
 };
 
 // A key-value store client whose calls fail as a test decides.
@@ -85,13 +85,13 @@
   template <typename Result, typename CarryOut>
   Result Call(bool write, CarryOut carry_out) {
     const InjectedFault fault = next_fault(write);
-    if (fault.before.value > 0) wait_(fault.before);
+    if (fault.request_delay.value > 0) wait_(fault.request_delay);
     Result result = carry_out();
-    if (fault.after.value > 0) wait_(fault.after);
+    if (fault.response_delay.value > 0) wait_(fault.response_delay);
     if constexpr (std::is_same_v<Result, StoreStatus>)
-      return fault.lost ? StoreStatus::kUnknown : result;
+      return fault.response_lost ? StoreStatus::kUnknown : result;
     else
-      return fault.lost ? Result{} : result;
+      return fault.response_lost ? Result{} : result;
   }
 
   FakeStore& store_;
--- a/tests/golden_jobs.h
+++ b/tests/golden_jobs.h
@@ -25,8 +25,8 @@
           .spread = false,
           .spot = true,
           .estimate = {240},
-          .checkpoint = {30},
-          .save = {4},
+          .checkpoint_interval = {30},
+          .save_duration = {4},
           .deadline = Seconds{900},
           .submitted = {}};
 }
@@ -48,8 +48,8 @@
           .spread = true,
           .spot = false,
           .estimate = {0},
-          .checkpoint = {0},
-          .save = {0},
+          .checkpoint_interval = {0},
+          .save_duration = {0},
           .deadline = std::nullopt,
           .submitted = {}};
 }
@@ -71,8 +71,8 @@
           .spread = false,
           .spot = false,
           .estimate = {12.5},
-          .checkpoint = {0},
-          .save = {0},
+          .checkpoint_interval = {0},
+          .save_duration = {0},
           .deadline = std::nullopt,
           .submitted = {}};
 }
@@ -100,8 +100,8 @@
   EXPECT_EQ(job.tasks, expected.tasks);
   ExpectSameRequirements(job, expected);
   EXPECT_EQ(job.estimate, expected.estimate);
-  EXPECT_EQ(job.checkpoint, expected.checkpoint);
-  EXPECT_EQ(job.save, expected.save);
+  EXPECT_EQ(job.checkpoint_interval, expected.checkpoint_interval);
+  EXPECT_EQ(job.save_duration, expected.save_duration);
   EXPECT_EQ(job.deadline, expected.deadline);
   EXPECT_EQ(job.submitted, expected.submitted);
 }
--- a/tests/golden_protocol_test.cc
+++ b/tests/golden_protocol_test.cc
@@ -73,11 +73,11 @@
 }
 
 std::function<Json()> Answer(const char* state) {
-  return [state] { return protocol::JobAnswerToJson({{"j-000412"}, state, 16, 13}, false); };
+  return [state] { return protocol::JobStatusReplyToJson({{"j-000412"}, state, 16, 13}, false); };
 }
 
 std::function<Json()> State(const char* state, std::uint32_t done, std::uint32_t running) {
-  return [=] { return protocol::JobAnswerToJson({{"j-000412"}, state, done, running}, true); };
+  return [=] { return protocol::JobStatusReplyToJson({{"j-000412"}, state, done, running}, true); };
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -131,7 +131,7 @@
 
 TEST(ProtocolGoldenTest, PathsAreThoseOfTheProtocol) {
   const std::vector<std::string> paths{
-      protocol::kJobsPath,      protocol::kCancelEnd,    protocol::kHealthPath,
+      protocol::kJobsPath,      protocol::kCancelSuffix, protocol::kHealthPath,
       protocol::kHeartbeatPath, protocol::kCommandsPath, protocol::kInspectPath,
       protocol::kTypesPath,     protocol::kMachinesPath, protocol::kReleasePath};
   EXPECT_EQ(paths, GoldenLines("protocol/paths.txt"));
@@ -211,7 +211,7 @@
           Ended(1, 1, ExitReason::kStopped),
           Ended(2, 5, ExitReason::kStopped, true),
           Ended(3, 1, ExitReason::kError),
-          Ended(4, 1, ExitReason::kNoRoom),
+          Ended(4, 1, ExitReason::kInsufficientCapacity),
           Ended(5, 2, ExitReason::kBusy),
           Ended(99999, 1, ExitReason::kUnknown)};
 }
@@ -256,14 +256,14 @@
 
 void ExpectSameType(const MachineType& type, const MachineType& expected) {
   EXPECT_EQ(type.name, expected.name);
-  EXPECT_EQ(type.room.cpus, expected.room.cpus);
-  EXPECT_EQ(type.room.gpus, expected.room.gpus);
-  EXPECT_EQ(type.room.memory_gb, expected.room.memory_gb);
+  EXPECT_EQ(type.capacity.cpus, expected.capacity.cpus);
+  EXPECT_EQ(type.capacity.gpus, expected.capacity.gpus);
+  EXPECT_EQ(type.capacity.memory_gb, expected.capacity.memory_gb);
   EXPECT_EQ(type.cache_gb, expected.cache_gb);
   EXPECT_EQ(type.fetch_gb_per_s, expected.fetch_gb_per_s);
   EXPECT_EQ(type.price, expected.price);
   EXPECT_EQ(type.spot_price, expected.spot_price);
-  EXPECT_EQ(type.boot, expected.boot);
+  EXPECT_EQ(type.boot_time, expected.boot_time);
   EXPECT_EQ(type.zones, expected.zones);
 }
 
--- a/tests/golden_record_test.cc
+++ b/tests/golden_record_test.cc
@@ -156,17 +156,11 @@
 
 TEST(RecordGoldenTest, KeysAreNamedAsInTheFile) {
   const JobId job{"j-000412"};
-  const std::vector<std::string> keys{records::kControl,
-                                      records::kLeader,
-                                      records::kEpoch,
-                                      records::kJobs,
-                                      records::kPages,
-                                      records::kBlocks,
-                                      records::MemberKey(kLabel),
-                                      records::JobKey(job),
-                                      records::FinalKey(job),
-                                      records::ToKey({{}, 18}),
-                                      records::ToKey({job, 3})};
+  const std::vector<std::string> keys{
+      records::kControlPrefix,    records::kLeaderKey,     records::kEpochKey,
+      records::kJobPrefix,        records::kPagePrefix,    records::kBlockPrefix,
+      records::MemberKey(kLabel), records::JobKey(job),    records::FinalKey(job),
+      records::ToKey({{}, 18}),   records::ToKey({job, 3})};
   EXPECT_EQ(keys, GoldenLines("records/keys.txt"));
 }
 
@@ -197,7 +191,7 @@
   plan.puts = {changed_page, new_page};
   plan.drops = {block};
   plan.finals = {{{"j-000398"}, JobOutcome::kDone, 6}, {{"j-9"}, JobOutcome::kCancelled, 1}};
-  plan.jobs = {{{"j-000412"}, {31}}, {{"j-000398"}, {30}}};
+  plan.expected_job_revisions = {{{"j-000412"}, {31}}, {{"j-000398"}, {30}}};
   return plan;
 }
 
--- a/tests/golden_settings_test.cc
+++ b/tests/golden_settings_test.cc
@@ -56,9 +56,9 @@
 void ExpectObjective(const Objective& objective, const Objective& expected) {
   EXPECT_EQ(objective.kind, expected.kind);
   EXPECT_EQ(objective.job_class, expected.job_class);
-  EXPECT_EQ(objective.within, expected.within);
+  EXPECT_EQ(objective.limit, expected.limit);
   EXPECT_EQ(objective.share, expected.share);
-  EXPECT_EQ(objective.times, expected.times);
+  EXPECT_EQ(objective.deadline_factor, expected.deadline_factor);
 }
 
 TEST(SettingsGoldenTest, ObjectivesAreReadFieldByField) {
@@ -117,13 +117,14 @@
         Property{"FleetIdle", [](const Settings& s) { return s.idle.value; }, 21.5, 20},
         Property{"FleetSilent", [](const Settings& s) { return s.heartbeat_timeout.value; }, 13.5,
                  12},
-        Property{"FleetListEvery", [](const Settings& s) { return s.list_every.value; }, 2.5, 3},
-        Property{"FleetBootPatience", [](const Settings& s) { return s.boot_patience; }, 4.25, 4},
+        Property{"FleetListEvery", [](const Settings& s) { return s.list_interval.value; }, 2.5, 3},
+        Property{"FleetBootPatience", [](const Settings& s) { return s.boot_timeout_factor; }, 4.25,
+                 4},
         Property{"FleetHeadroom", [](const Settings& s) { return 1.0 * s.headroom; }, 3, 1},
         Property{"FleetHeadroomFor", [](const Settings& s) { return s.headroom_duration.value; },
                  601.5, 600},
-        Property{"FleetRefusedPause", [](const Settings& s) { return s.refused_pause.value; }, 91.5,
-                 90},
+        Property{"FleetRefusedPause",
+                 [](const Settings& s) { return s.provision_retry_delay.value; }, 91.5, 90},
         Property{"FleetMostPerOrder", [](const Settings& s) { return 1.0 * s.max_per_request; }, 49,
                  50}),
     RowName{});
--- a/tests/job_fault_scenarios.cc
+++ b/tests/job_fault_scenarios.cc
@@ -92,7 +92,7 @@
 void OnlyTheAnswerIsLostWhileOthersRead(ScenarioCluster& cluster) {
   for (int i = 0; i < 8; ++i) {
     const std::string job = "j-2" + std::to_string(i);
-    const auto lose = [&] { cluster.store.next_commit = FakeStore::Fault::kLoseAnswer; };
+    const auto lose = [&] { cluster.store.next_commit = FakeStore::Fault::kLoseResponse; };
     lose();
     cluster.SubmitAndPoll(job, 1, cluster.labels[static_cast<std::size_t>(i) % 3]);
     ASSERT_TRUE(cluster.jobs.contains(job)) << "its second try finds that it was accepted";
@@ -126,7 +126,7 @@
   ASSERT_EQ(cluster.LiveTasks("j-10") + cluster.LiveTasks("j-11") + cluster.LiveTasks("j-12"), 4U);
   for (auto& m : cluster.machines)
     (m.worker.zone() == "a" ? m.partitioned : m.receives_nothing) =
-        m.worker.Has({{"j-10"}, 0}) || m.worker.Has({{"j-11"}, 1});
+        m.worker.HasLiveTask({{"j-10"}, 0}) || m.worker.HasLiveTask({{"j-11"}, 1});
   cluster.CancelAndPoll("j-10", "n1");
   cluster.StopController(cluster.Leader());
   cluster.CancelAndPoll("j-11", cluster.Follower());
@@ -164,12 +164,12 @@
 void MachinesThatSendNothingLoseTheirLeasesThoughProbesAreAnswered(ScenarioCluster& cluster) {
   cluster.ForMachines("a", [](auto& m) { m.sends_nothing = true; });
   cluster.Run(30);
-  EXPECT_EQ(cluster.At(0).worker.Live() + cluster.At(2).worker.Live(), 0U)
+  EXPECT_EQ(cluster.At(0).worker.LiveTaskCount() + cluster.At(2).worker.LiveTaskCount(), 0U)
       << "nothing is begun where no lease is kept";
   EXPECT_EQ(cluster.LiveTasks("j-1") + cluster.LiveTasks("j-2"), 4U);
   ASSERT_TRUE(cluster.Submit("j-10", 3, "n0"));
   cluster.Run(10);
-  EXPECT_EQ(cluster.At(0).worker.Live() + cluster.At(2).worker.Live(), 0U);
+  EXPECT_EQ(cluster.At(0).worker.LiveTaskCount() + cluster.At(2).worker.LiveTaskCount(), 0U);
   EXPECT_EQ(cluster.LiveTasks("j-10"), 3U);
   EXPECT_TRUE(cluster.CancelInTime("j-1", 5));
   cluster.Run(30);
--- a/tests/job_progress_test.cc
+++ b/tests/job_progress_test.cc
@@ -8,8 +8,8 @@
 
 class JobProgressTest : public ClusterTest {
  protected:
-  void Fill(Node& node, const std::string& job, const std::string& zone, std::uint32_t tasks,
-            double cpus, Seconds estimate) {
+  void Fill(TestController& node, const std::string& job, const std::string& zone,
+            std::uint32_t tasks, double cpus, Seconds estimate) {
     JobSpec spec = MakeJob(job, tasks);
     spec.per_task.cpus = cpus;
     spec.zone = zone;
@@ -19,9 +19,9 @@
     Settle(node);
   }
   // Until then, with the cloud refusing every rental.
-  void WaitRefused(Node& node, int seconds) {
+  void WaitRefused(TestController& node, int seconds) {
     for (int i = 0; i < seconds; ++i) {
-      Pass(1);
+      AdvanceTime(1);
       Settle(node, 1);
       RunCloud(node);
     }
@@ -34,11 +34,11 @@
 TEST_F(JobProgressTest, DistantReservationHoldsNoQuota) {
   AddWorker("m-1", "large", "a");
   FakeWorker& idle = AddWorker("m-2", "large", "b");
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
   Fill(node, "j-9", "a", 8, 2, {600});
-  ASSERT_EQ(LiveEverywhere(), 8U);
+  ASSERT_EQ(CountLiveTasks(), 8U);
   JobSpec bound = MakeJob("j-1", 3);
   bound.team = "blue";
   bound.zone = "a";
@@ -50,12 +50,12 @@
   free.zone = "b";
   Run(node, free);
   WaitRefused(node, 20);
-  EXPECT_TRUE(idle.Has({{"j-2"}, 0}));
+  EXPECT_TRUE(idle.HasLiveTask({{"j-2"}, 0}));
   // As the other ends, the one that waited has its turn, within the limit.
   idle.EndAll(ExitReason::kDone);
   workers_.front().EndAll(ExitReason::kDone);
   WaitRefused(node, 5);
-  EXPECT_EQ(LiveEverywhere(), 3U);
+  EXPECT_EQ(CountLiveTasks(), 3U);
 }
 
 // A job's tasks may be spread, and one zone has all that it may hold. A machine was planned where
@@ -63,7 +63,7 @@
 TEST_F(JobProgressTest, MachineIsRentedInTheZoneThatTheJobHasLeft) {
   AddWorker("m-1", "large", "a");
   for (int i = 2; i < 5; ++i) AddWorker("m-" + std::to_string(i), "large", "b");
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
   Fill(node, "j-9", "b", 3, 12, {600});
@@ -72,13 +72,13 @@
   spread.spread = true;
   Run(node, spread);
   Settle(node);
-  ASSERT_TRUE(workers_.front().Has({{"j-1"}, 0}));
+  ASSERT_TRUE(workers_.front().HasLiveTask({{"j-1"}, 0}));
   std::set<std::string> zones;
   for (int i = 0; i < 10; ++i) {
-    Pass(1);
+    AdvanceTime(1);
     Settle(node, 1);
     for (const CloudCall& call : RunCloud(node))
-      if (call.kind == CloudCall::Kind::kProvision) zones.insert(call.order.kind.zone);
+      if (call.kind == CloudCall::Kind::kProvision) zones.insert(call.scale_out.kind.zone);
   }
   EXPECT_TRUE(zones.contains("b"));
 }
--- a/tests/late_write_test.cc
+++ b/tests/late_write_test.cc
@@ -12,9 +12,9 @@
  protected:
   // n0 leads, and is about to write that j-2, which ran on m-1, is over, and that j-3 is
   // bound to m-2.
-  std::pair<Node*, WriteBatch> AnEndAndABinding() {
+  std::pair<TestController*, WriteBatch> AnEndAndABinding() {
     m1 = &AddWorker("m-1", "large");
-    Node& before = AddNode("n0");
+    TestController& before = AddController("n0");
     EXPECT_TRUE(before.TakeOver(now));
     Heartbeat(before, *m1);
     Run(before, MakeJob("j-2"));
@@ -32,9 +32,9 @@
   }
 
   // n1 takes the lead, hears of the result and writes the end. m-2 is not heard of.
-  Node& NextWritesTheEnd() {
+  TestController& NextWritesTheEnd() {
     store.ExpireLeases();
-    Node& after = AddNode("n1");
+    TestController& after = AddController("n1");
     EXPECT_TRUE(after.TakeOver(now));
     Heartbeat(after, *m1);
     Heartbeat(after, *m1);
@@ -52,10 +52,10 @@
 // conflict for a refusal, kept the page in its books with a stamp that no key has, and
 // chose it for the next bindings, which were refused for ever.
 TEST_F(LateWriteTest, DeletionWithoutAResponseIsKnownToHaveCommitted) {
-  for (const auto fault :
-       {FakeStore::Fault::kLoseAnswer, FakeStore::Fault::kLandLater, FakeStore::Fault::kRefuse}) {
+  for (const auto fault : {FakeStore::Fault::kLoseResponse, FakeStore::Fault::kCommitLate,
+                           FakeStore::Fault::kRefuse}) {
     store = FakeStore{};
-    nodes_.clear();
+    controllers_.clear();
     workers_.clear();
     now = {100};
     Transaction old;
@@ -65,25 +65,25 @@
                              std::nullopt});
     ASSERT_EQ(store.Commit(old).status, StoreStatus::kOk);
     AddWorker("m-1", "large");
-    Node& node = AddNode("n0");
+    TestController& node = AddController("n0");
     ASSERT_TRUE(node.TakeOver(now));
     int writes = 0;
     for (int i = 0; i < 40; ++i) {
-      Pass(1);
+      AdvanceTime(1);
       store.next_commit = i % 2 == 0 ? fault : FakeStore::Fault::kNone;
       while (writes < 200 && node.WriteOnce(now)) ++writes;
       store.next_commit = FakeStore::Fault::kNone;
-      while (store.holds_back()) store.Deliver();
+      while (store.has_delayed_transactions()) store.DeliverDelayed();
     }
     EXPECT_LE(writes, 8) << "each page is dropped once";
     EXPECT_LE(store.Range("p/", "", 100).entries.size(), 4U);
     ASSERT_EQ(Submit(node, MakeJob("j-1", 3)), 201);
     node.ReadJobs();
     for (int i = 0; i < 4; ++i) {
-      Pass(1);
+      AdvanceTime(1);
       Settle(node, 1);
     }
-    EXPECT_EQ(LiveEverywhere(), 3U);
+    EXPECT_EQ(CountLiveTasks(), 3U);
   }
 }
 
@@ -93,9 +93,9 @@
 // had bound elsewhere: found on days/limit-cut-thrissur.toml.
 TEST_F(LateWriteTest, OutcomeWrittenByTheNextLeaderIsNotOurs) {
   const auto [before, plan] = AnEndAndABinding();
-  Node& after = NextWritesTheEnd();
+  TestController& after = NextWritesTheEnd();
   // The first try was sent and had no answer, nor did it arrive.
-  store.next_commit = FakeStore::Fault::kLandLater;
+  store.next_commit = FakeStore::Fault::kCommitLate;
   const WriteOutcome outcome = before->Finish(plan, now);
   EXPECT_EQ(outcome.status, WriteOutcome::Status::kUnknown) << "it may have landed while n0 led";
   EXPECT_TRUE(outcome.deposed);
@@ -107,8 +107,8 @@
     after.core.Tick(now, wall);
     while (after.WriteOnce(now)) {
     }
-    m2->Take(before->core.OnHeartbeat(m2->Snapshot(), now));
-    EXPECT_LE(LiveEverywhere(), 1U);
+    m2->Deliver(before->core.OnHeartbeat(m2->Snapshot(), now));
+    EXPECT_LE(CountLiveTasks(), 1U);
   }
 }
 
@@ -119,7 +119,7 @@
   const auto [before, plan] = AnEndAndABinding();
   const Json end = records::ToJson(records::FinalRecord{JobOutcome::kDone, 1});
   ASSERT_EQ(store.Commit({{}, {{"f/j-2", end, std::nullopt}}}).status, StoreStatus::kOk);
-  store.next_commit = FakeStore::Fault::kLoseAnswer;
+  store.next_commit = FakeStore::Fault::kLoseResponse;
   EXPECT_EQ(before->Finish(plan, now).status, WriteOutcome::Status::kRejected);
   EXPECT_FALSE(before->core.NextDirectCommand(now)) << "no binding is durable that it could start";
 }
@@ -129,7 +129,7 @@
   const auto [before, plan] = AnEndAndABinding();
   // A user cancels j-3 meanwhile, so the repeat finds a conflict though nobody else leads yet.
   ASSERT_EQ(before->api.Cancel("j-3").status, 200);
-  store.next_commit = FakeStore::Fault::kLandLater;
+  store.next_commit = FakeStore::Fault::kCommitLate;
   store.before_get = [&] { NextWritesTheEnd(); };
   EXPECT_EQ(before->Finish(plan, now).status, WriteOutcome::Status::kUnknown);
   EXPECT_FALSE(before->core.leading());
@@ -142,9 +142,9 @@
 // the former leader took its bindings and ends back and went on commanding workers by its books.
 TEST_F(LateWriteTest, SuccessorsPageDoesNotProveThatOurWriteFailed) {
   const auto [before, plan] = AnEndAndABinding();
-  store.next_commit = FakeStore::Fault::kLoseAnswer;
+  store.next_commit = FakeStore::Fault::kLoseResponse;
   store.before_get = [&] {
-    Node& after = NextWritesTheEnd();
+    TestController& after = NextWritesTheEnd();
     Run(after, MakeJob("j-4"));
     Settle(after);
   };
@@ -158,7 +158,7 @@
 // The same without a successor: what was written is found to be ours.
 TEST_F(LateWriteTest, WriteWithoutAResponseIsReadBackWhileWeLead) {
   const auto [before, plan] = AnEndAndABinding();
-  store.next_commit = FakeStore::Fault::kLoseAnswer;
+  store.next_commit = FakeStore::Fault::kLoseResponse;
   EXPECT_EQ(before->Finish(plan, now).status, WriteOutcome::Status::kWritten);
   EXPECT_TRUE(before->core.NextDirectCommand(now)) << "j-3 is started";
 }
@@ -166,7 +166,7 @@
 // Every write of a day in turn lands 2 to 12 s late or with its answer lost: of the
 // leader, of submissions and cancellations and of elections. Nothing is applied twice.
 TEST(LateWriteSweepTest, EachWriteInTurnCommitsLate) {
-  for (const auto fault : {FakeStore::Fault::kLandLater, FakeStore::Fault::kLoseAnswer})
+  for (const auto fault : {FakeStore::Fault::kCommitLate, FakeStore::Fault::kLoseResponse})
     for (int at = 0; at < 60; ++at) {
       SCOPED_TRACE(std::to_string(at));
       SimulatedCluster cluster;
@@ -191,7 +191,7 @@
       step(6);
       for (auto& m : cluster.machines) {
         const TaskId task{{"j-3"}, 0};
-        if (!m.worker.Has(task)) continue;
+        if (!m.worker.HasLiveTask(task)) continue;
         m.worker.End(task, ExitReason::kDone);
         cluster.completed.insert(task);
       }
--- a/tests/leader_fault_scenarios.cc
+++ b/tests/leader_fault_scenarios.cc
@@ -15,7 +15,7 @@
       old.push_back(
           m.sent_heartbeats[m.sent_heartbeats.size() > 5 ? m.sent_heartbeats.size() - 5 : 0]);
     if (round % 2 == 0) cluster.CompleteAll(round == 0 ? "j-1" : "j-2");
-    if (round % 3 == 1) cluster.ForMachines("a", [](auto& m) { m.worker.LeaseEnds(); });
+    if (round % 3 == 1) cluster.ForMachines("a", [](auto& m) { m.worker.ExpireLease(); });
     cluster.Run(2);
     for (const auto& m : cluster.machines) old.push_back(m.sent_heartbeats.back());
     cluster.StopController(cluster.Leader());
@@ -218,7 +218,7 @@
 // leader ends before or after its bindings land.
 void QuickBootsWhileWritesLagAndTheLeaderCrashes(ScenarioCluster& cluster) {
   const auto lag = [&](int seconds) {
-    cluster.store.next_commit = FakeStore::Fault::kLandLater;
+    cluster.store.next_commit = FakeStore::Fault::kCommitLate;
     cluster.late_writes.push_back(cluster.now + Seconds{1.0 * seconds});
   };
   for (int round = 0; round < 8; ++round) {
--- a/tests/leader_health_test.cc
+++ b/tests/leader_health_test.cc
@@ -71,17 +71,17 @@
 // In the world: the lead is given up by a write of its own, and a late copy of it takes
 // the lead from nobody.
 TEST_F(LeaderResignationTest, AnotherLeadsAtOnceWhenTheLeaderResigns) {
-  Node& first = AddNode("n0");
-  Node& second = AddNode("n1");
+  TestController& first = AddController("n0");
+  TestController& second = AddController("n1");
   ASSERT_TRUE(first.TakeOver(now));
-  store.next_commit = FakeStore::Fault::kLandLater;
+  store.next_commit = FakeStore::Fault::kCommitLate;
   first.election.Resign();
   first.election.Resign();
   first.election.Step(false);
   EXPECT_FALSE(first.election.view().leadership);
   EXPECT_EQ(first.election.view().leader, "");
   EXPECT_TRUE(second.TakeOver(now));
-  EXPECT_FALSE(store.Deliver());
+  EXPECT_FALSE(store.DeliverDelayed());
   second.election.Step();
   EXPECT_TRUE(second.election.view().leadership);
   store.ExpireLeases();
--- a/tests/leader_reload_test.cc
+++ b/tests/leader_reload_test.cc
@@ -46,7 +46,7 @@
     int left = at;
     cluster.inject_fault = [&left](const std::string&, bool) {
       InjectedFault fate;
-      fate.lost = left-- == 0;
+      fate.response_lost = left-- == 0;
       return fate;
     };
     lead_ends();
--- a/tests/load_test_services_test.cc
+++ b/tests/load_test_services_test.cc
@@ -206,7 +206,7 @@
                          const std::string& zone = "a") {
     return cloud.Provision({name, "plain", zone, false, count}, now);
   }
-  void Pass(double seconds) {
+  void AdvanceTime(double seconds) {
     for (const Instant end = now + Seconds{seconds}; now < end;) {
       now = now + Seconds{0.5};
       cloud.Advance(now);
@@ -242,20 +242,20 @@
   Provision("r-1", 1);
   EXPECT_EQ(told, "rented vm-000001, ");
   EXPECT_EQ(Listed(), "");
-  Pass(4.5);
+  AdvanceTime(4.5);
   EXPECT_EQ(Listed(), "vm-000001s ");
-  Pass(20);
+  AdvanceTime(20);
   EXPECT_EQ(told, "rented vm-000001, up vm-000001, ");
   EXPECT_EQ(Listed(), "vm-000001r ");
   cloud.Fail({"vm-000001"}, now);
-  Pass(25);
+  AdvanceTime(25);
   EXPECT_EQ(Listed(), "vm-000001r ") << "a dead one stays listed as running for a while";
-  Pass(10);
+  AdvanceTime(10);
   EXPECT_EQ(Listed(), "vm-000001f ");
   cloud.Release({{"vm-000001"}});
   EXPECT_TRUE(told.ends_with("released vm-000001, "));
   EXPECT_EQ(Listed(), "vm-000001f ") << "it lags";
-  Pass(5);
+  AdvanceTime(5);
   EXPECT_EQ(Listed(), "");
 }
 
--- a/tests/lost_answers_test.cc
+++ b/tests/lost_answers_test.cc
@@ -70,7 +70,7 @@
 
   GetResult Get(const std::string& key) override {
     ++requests;
-    Pass({weather_.latency});
+    AdvanceTime({weather_.latency});
     timeout_.ReadAnswered({weather_.latency});
     return FakeStore::Get(key);
   }
@@ -81,18 +81,18 @@
     std::uniform_real_distribution<double> draw(0, 1);
     const double drawn = draw(random_);
     if (drawn < weather_.refused) {
-      Pass({weather_.latency});
+      AdvanceTime({weather_.latency});
       return {StoreStatus::kRefused, {}, {}, true};
     }
     const double unanswered = drawn - weather_.refused;
     const bool slow = weather_.latency > limit.value;
     if (unanswered < weather_.lost + weather_.late || slow) {
-      next_commit = unanswered < weather_.lost || slow ? Fault::kLoseAnswer : Fault::kLandLater;
-      Pass(limit);
+      next_commit = unanswered < weather_.lost || slow ? Fault::kLoseResponse : Fault::kCommitLate;
+      AdvanceTime(limit);
       timeout_.TransactionUnanswered();
       return FakeStore::Commit(txn);
     }
-    Pass({weather_.latency});
+    AdvanceTime({weather_.latency});
     timeout_.TransactionAnswered({weather_.latency});
     return FakeStore::Commit(txn);
   }
@@ -100,7 +100,7 @@
   int requests = 0;
 
  private:
-  void Pass(Seconds s) { now_ = now_ + s; }
+  void AdvanceTime(Seconds s) { now_ = now_ + s; }
 
   Weather weather_;
   Instant& now_;
@@ -115,7 +115,7 @@
   constexpr int kJobs = 400;
   Instant now{100};
   WeatherStore store(GetParam(), now);
-  SubmissionBatcher submissions(store, {.pace = {.maximum = 25, .initial = 0.5}},
+  SubmissionBatcher submissions(store, {.rate_limit = {.maximum = 25, .initial = 0.5}},
                                 {[&] { return now; }, [&](Seconds s) { now = now + s; }});
   for (int i = 0; i < 20; ++i) store.Get("warm");  // what membership and polls have asked
   store.requests = 0;
@@ -127,7 +127,7 @@
     const Instant asked = now;
     const SubmissionBatcher::Status status = submissions.Submit(MakeJob(id)).status;
     const bool taken = status == SubmissionBatcher::Status::kAccepted ||
-                       status == SubmissionBatcher::Status::kKnown;
+                       status == SubmissionBatcher::Status::kAlreadyExists;
     if (taken) {
       const std::string key = records::JobKey({id});
       const std::optional<StoreEntry> entry = store.FakeStore::Get(key).entry;
@@ -139,7 +139,7 @@
   }
   EXPECT_GE(in_time, GetParam().in_time * kJobs);
   EXPECT_LE(store.requests, GetParam().requests * (now - begin).value);
-  while (store.holds_back()) store.Deliver();
+  while (store.has_delayed_transactions()) store.DeliverDelayed();
   for (const auto& [key, revision] : accepted)
     EXPECT_EQ(store.FakeStore::Get(key).entry->revision, revision) << "a late copy changed " << key;
 }
@@ -163,10 +163,10 @@
   constexpr int kWrites = 200;
   Instant now{100};
   WeatherStore store(GetParam(), now);
-  store.FakeStore::Commit({{}, {{records::kLeader, Json("x"), std::nullopt}}});
-  const Revision leader = store.tick();
-  store.FakeStore::Commit({{}, {{records::kEpoch, Json("x"), std::nullopt}}});
-  const records::Leadership leadership{leader, store.tick()};
+  store.FakeStore::Commit({{}, {{records::kLeaderKey, Json("x"), std::nullopt}}});
+  const Revision leader = store.current_revision();
+  store.FakeStore::Commit({{}, {{records::kEpochKey, Json("x"), std::nullopt}}});
+  const records::Leadership leadership{leader, store.current_revision()};
   for (int i = 0; i < 20; ++i) store.Get("warm");
   store.requests = 0;
   const Instant begin = now;
--- a/tests/overload_policy_test.cc
+++ b/tests/overload_policy_test.cc
@@ -67,8 +67,8 @@
 class OverloadedClusterTest : public ClusterTest {
  protected:
   // One machine of eight places, and its leader.
-  Node& Begin() {
-    Node& node = AddNode("n0");
+  TestController& Begin() {
+    TestController& node = AddController("n0");
     AddWorker("m-1", "large");
     EXPECT_TRUE(node.TakeOver(now));
     Settle(node);
@@ -76,9 +76,9 @@
   }
   FakeWorker& worker() { return workers_.front(); }
   // Time goes by, with reports.
-  void Wait(Node& node, double seconds) {
+  void Wait(TestController& node, double seconds) {
     for (; seconds > 0; seconds -= 3) {
-      Pass(std::min(seconds, 3.0));
+      AdvanceTime(std::min(seconds, 3.0));
       Settle(node, 1);
     }
   }
@@ -94,7 +94,7 @@
 // Guards against room that is spread over many half-done arrays, as on the day
 // days/scattered-arrays.toml: what is late all the same goes by what is left of it.
 TEST_F(OverloadedClusterTest, LateArrayNearestItsEndGoesFirst) {
-  Node& node = Begin();
+  TestController& node = Begin();
   JobSpec large = MakeJob("j-1", 40);
   JobSpec small = MakeJob("j-2", 4);
   large.deadline = small.deadline = Seconds{40};
@@ -106,29 +106,29 @@
   Wait(node, 45);  // both have missed their only target
   for (std::uint32_t i = 0; i < 4; ++i) worker().End({{"j-0"}, i}, ExitReason::kDone);
   Settle(node);
-  for (std::uint32_t i = 0; i < 4; ++i) EXPECT_TRUE(worker().Has({{"j-2"}, i}));
-  EXPECT_FALSE(worker().Has({{"j-1"}, 0}));
+  for (std::uint32_t i = 0; i < 4; ++i) EXPECT_TRUE(worker().HasLiveTask({{"j-2"}, i}));
+  EXPECT_FALSE(worker().HasLiveTask({{"j-1"}, 0}));
 }
 
 // Guards against tasks of normal priority that are begun and stopped for urgent
 // work again and again (days/urgent-flood.toml: 40,871 starts for 26,311 ends).
 TEST_F(OverloadedClusterTest, UrgentWorkThatIsLateRegardlessPreemptsNothing) {
   wall.value += 40;  // the urgent jobs are overdue when they are heard of
-  Node& node = Begin();
+  TestController& node = Begin();
   Run(node, MakeJob("j-1", 8));
   Settle(node);
-  ASSERT_EQ(worker().Live(), 8U);
+  ASSERT_EQ(worker().LiveTaskCount(), 8U);
   for (int i = 0; i < 9; ++i) Run(node, Urgent(i, 32));
   Wait(node, 9);
-  for (std::uint32_t i = 0; i < 8; ++i) EXPECT_TRUE(worker().Has({{"j-1"}, i}));
+  for (std::uint32_t i = 0; i < 8; ++i) EXPECT_TRUE(worker().HasLiveTask({{"j-1"}, i}));
 }
 
 // An urgent flood leaves a quarter of the room to what is less urgent and in time.
 TEST_F(OverloadedClusterTest, LessUrgentWorkKeepsItsMinimumShare) {
-  Node& node = Begin();
+  TestController& node = Begin();
   for (int i = 0; i < 9; ++i) Run(node, Urgent(i, 60));
   Settle(node);
-  ASSERT_EQ(worker().Live(), 8U);
+  ASSERT_EQ(worker().LiveTaskCount(), 8U);
   JobSpec normal = MakeJob("j-1", 2);
   normal.deadline = Seconds{400};
   Run(node, normal);
@@ -136,16 +136,16 @@
   const auto live = worker().Snapshot().tasks;
   for (std::size_t i = 0; i < 2; ++i) worker().End(live[i].task, ExitReason::kDone);
   Settle(node);
-  EXPECT_TRUE(worker().Has({{"j-1"}, 0}));
-  EXPECT_TRUE(worker().Has({{"j-1"}, 1}));
+  EXPECT_TRUE(worker().HasLiveTask({{"j-1"}, 0}));
+  EXPECT_TRUE(worker().HasLiveTask({{"j-1"}, 1}));
   // It has its part now: what is free next is for the flood.
   JobSpec more = MakeJob("j-2", 2);
   more.deadline = Seconds{400};
   Run(node, more);
   for (std::size_t i = 2; i < 4; ++i) worker().End(live[i].task, ExitReason::kDone);
   Settle(node);
-  EXPECT_FALSE(worker().Has({{"j-2"}, 0}));
-  EXPECT_EQ(worker().Live(), 8U);
+  EXPECT_FALSE(worker().HasLiveTask({{"j-2"}, 0}));
+  EXPECT_EQ(worker().LiveTaskCount(), 8U);
 }
 
 }  // namespace
--- a/tests/planner_test.cc
+++ b/tests/planner_test.cc
@@ -78,7 +78,7 @@
     round.usage = round.near_usage = state.quotas.usage();
     round.lowest_array_priority = Priority::kLow;
     for (const auto& [id, machine] : state.machines.all()) {
-      Resources free = state.kinds.all()[*machine->kind].type->room;
+      Resources free = state.kinds.all()[*machine->kind].type->capacity;
       free -= machine->used;
       round.plan.Add({machine.get(), *machine->kind, ResourceTimeline(free, now), true,
                       !machine->tasks.empty()});
@@ -148,7 +148,7 @@
   JobSpec spec = MakeJob("j-1");
   spec.deadline = Seconds{90};
   Job& job = AddJob(spec);
-  job.within = true;
+  job.within_guarantee = true;
   const DueTimes due = calculator.Calculate(job, WallTime{0});
   EXPECT_EQ(due.target, Seconds{40}) << "10 s until it starts, and 30 s of run time";
   EXPECT_EQ(due.provisioning_target, Seconds{90});
--- a/tests/planning_cost_test.cc
+++ b/tests/planning_cost_test.cc
@@ -19,7 +19,7 @@
   constexpr std::uint32_t kMachines = 2000;
   constexpr std::uint32_t kTasks = 3000;
   constexpr std::uint32_t kJobs = 30;
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   for (std::uint32_t i = 0; i < kMachines; ++i) AddWorker("m-" + std::to_string(i));
   ASSERT_TRUE(node.TakeOver(now));
   for (FakeWorker& w : workers_) Heartbeat(node, w);
@@ -37,7 +37,7 @@
 // what one job took is not given to the next that comes back to an older shelf.
 TEST_F(PlanningCostTest, MoreTaskShapesThanCandidateIndexesShareTheMachines) {
   constexpr std::uint32_t kJobs = 50;
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   for (std::uint32_t i = 0; i < 10; ++i) AddWorker("m-" + std::to_string(i));
   ASSERT_TRUE(node.TakeOver(now));
   for (FakeWorker& w : workers_) Heartbeat(node, w);
@@ -110,19 +110,19 @@
 TEST_F(PlanningCostTest, IdleTickInspectsNoMachine) {
   constexpr std::uint32_t kMachines = 400;
   constexpr std::uint32_t kTurns = 12;  // of a quarter of a second: one report interval
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   for (std::uint32_t i = 0; i < kMachines; ++i) AddWorker("m-" + std::to_string(i));
   ASSERT_TRUE(node.TakeOver(now));
   for (FakeWorker& w : workers_) Heartbeat(node, w);
   Run(node, MakeJob("j-1", 2 * kMachines));
   Settle(node);
-  ASSERT_EQ(LiveEverywhere(), 2U * kMachines) << "nothing is idle";
+  ASSERT_EQ(CountLiveTasks(), 2U * kMachines) << "nothing is idle";
   RunCloud(node);
   const auto turn = [&](std::uint32_t k) {
     std::uint32_t i = 0;
     for (FakeWorker& w : workers_)
       if (i++ % kTurns == k % kTurns) Heartbeat(node, w);
-    Pass(0.25);
+    AdvanceTime(0.25);
     node.core.Tick(now, wall);
     EXPECT_FALSE(node.core.NextProbe(now));
   };
@@ -132,13 +132,13 @@
   EXPECT_EQ(node.core.GetStatus().machines_inspected, before.machines_inspected);
 
   // One that falls silent is looked at, and no other.
-  silent_.insert(workers_.front().id());
-  Pass(0.1);
+  unresponsive_workers_.insert(workers_.front().id());
+  AdvanceTime(0.1);
   for (FakeWorker& w : workers_)
-    if (!silent_.contains(w.id())) Heartbeat(node, w);
-  Pass(4.5);
+    if (!unresponsive_workers_.contains(w.id())) Heartbeat(node, w);
+  AdvanceTime(4.5);
   for (FakeWorker& w : workers_)
-    if (!silent_.contains(w.id())) Heartbeat(node, w);
+    if (!unresponsive_workers_.contains(w.id())) Heartbeat(node, w);
   node.core.Tick(now, wall);
   const auto probe = node.core.NextProbe(now);
   ASSERT_TRUE(probe);
@@ -149,21 +149,21 @@
 TEST(HeartbeatIndexTest, KeepsLateMachinesApartAndCountsThemByZone) {
   HeartbeatIndex heartbeat_index(Seconds{5});
   std::vector<HeartbeatIndex::Member> m(3);
-  for (auto& per_task : m) heartbeat_index.Join(per_task, Instant{100});
-  heartbeat_index.Count(m[0], "a", true);
-  heartbeat_index.Count(m[1], "a", true);
+  for (auto& per_task : m) heartbeat_index.AddMember(per_task, Instant{100});
+  heartbeat_index.AssignZone(m[0], "a", true);
+  heartbeat_index.AssignZone(m[1], "a", true);
   heartbeat_index.RecordHeartbeat(m[1], Instant{104});
-  heartbeat_index.Pass(Instant{106});
+  heartbeat_index.AdvanceTime(Instant{106});
   EXPECT_EQ(heartbeat_index.late().size(), 2U);
   EXPECT_EQ(heartbeat_index.zones().at("a").late, 1U);
-  heartbeat_index.Count(m[2], "b", true);
+  heartbeat_index.AssignZone(m[2], "b", true);
   EXPECT_EQ(heartbeat_index.zones().at("b").late, 1U) << "late already when it is counted";
   EXPECT_TRUE(heartbeat_index.RecordHeartbeat(m[0], Instant{107}));
   EXPECT_FALSE(heartbeat_index.RecordHeartbeat(m[0], Instant{108}));
   EXPECT_EQ(heartbeat_index.zones().at("a").late, 0U);
   EXPECT_EQ(heartbeat_index.fresh().front(), &m[1]) << "the oldest comes first";
   heartbeat_index.Watch(m[2]);
-  heartbeat_index.Leave(m[2]);
+  heartbeat_index.RemoveMember(m[2]);
   EXPECT_EQ(heartbeat_index.zones().at("b").all, 0U);
   EXPECT_TRUE(heartbeat_index.watched().empty());
   EXPECT_TRUE(heartbeat_index.late().empty());
@@ -174,18 +174,18 @@
 TEST_F(PlanningCostTest, FullClusterIsPlannedToTheEndOnceASecond) {
   constexpr int kMachines = 20;
   constexpr int kWaiting = 50;
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   for (int i = 0; i < kMachines; ++i) AddWorker("m-" + std::to_string(i));
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
   Run(node, MakeJob("j-1", 2 * kMachines));
   for (int j = 2; j < 2 + kWaiting; ++j) Run(node, MakeJob("j-" + std::to_string(j)));
   Settle(node);
-  ASSERT_EQ(LiveEverywhere(), 2U * kMachines) << "all is full";
-  Pass(2);
+  ASSERT_EQ(CountLiveTasks(), 2U * kMachines) << "all is full";
+  AdvanceTime(2);
   node.core.Tick(now, wall);
   const SchedulerStatus full = node.core.GetStatus();
-  Pass(0.1);
+  AdvanceTime(0.1);
   node.core.Tick(now, wall);
   EXPECT_EQ(node.core.GetStatus().jobs_planned, full.jobs_planned);
   EXPECT_EQ(node.core.GetStatus().candidates_evaluated, full.candidates_evaluated);
@@ -194,17 +194,17 @@
   FakeWorker& w = workers_.front();
   w.EndAll(ExitReason::kDone);
   Heartbeat(node, w);
-  Pass(0.1);
+  AdvanceTime(0.1);
   node.core.Tick(now, wall);
   EXPECT_LE(node.core.GetStatus().jobs_planned, full.jobs_planned + 2);
   EXPECT_EQ(node.core.GetStatus().pending, static_cast<std::size_t>(kWaiting - 2));
-  Pass(1);
+  AdvanceTime(1);
   node.core.Tick(now, wall);
   EXPECT_GE(node.core.GetStatus().jobs_planned, full.jobs_planned + kWaiting - 2);
 }
 
 TEST_F(PlanningCostTest, ManyPollsShareOneRead) {
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   ASSERT_EQ(Submit(node, MakeJob("j-1")), 201);
   JobCache cache(store, Seconds{0}, {[] { return Instant{1}; }, [](Seconds) {}});
   ASSERT_TRUE(cache.Find({"j-1"}).live.has_value());
@@ -216,7 +216,7 @@
   EXPECT_LE(store.watches - watches, 3);
   EXPECT_EQ(store.commits - commits, 2) << "a cancellation's two steps, and nothing for polls";
   ASSERT_EQ(Submit(node, MakeJob("j-3")), 201);
-  store.forgotten = store.tick();  // too many changes ago: read anew
+  store.compacted_before = store.current_revision();  // too many changes ago: read anew
   EXPECT_TRUE(cache.Find({"j-3"}).live.has_value());
   store.outage = true;
   EXPECT_FALSE(cache.Find({"j-1"}).store_reachable) << "what can't be checked is not told";
