--- a/tests/quick_restart_test.cc
+++ b/tests/quick_restart_test.cc
@@ -11,13 +11,13 @@
  protected:
   // Carries out commands, and ends the controller at the one that is due: it was sent
   // and done, or not sent, or arrives later.
-  void DirectCommand(Node& node) {
+  void DirectCommand(TestController& node) {
     while (auto direct_command = node.core.NextDirectCommand(now)) {
       FakeWorker& w = WorkerOf(direct_command->machine);
       if (pushes_until_end >= 0 && pushes_until_end-- == 0) {
-        if (store.at_the_end == Fault::kLoseAnswer) w.Take(*direct_command);
-        if (store.at_the_end == Fault::kLandLater) late_.push_back(*direct_command);
-        throw FakeStore::Ended{};
+        if (store.crash_fault == Fault::kLoseResponse) w.Take(*direct_command);
+        if (store.crash_fault == Fault::kCommitLate) late_.push_back(*direct_command);
+        throw FakeStore::Crashed{};
       }
       w.Take(*direct_command);
       node.core.OnDirectCommandResult(*direct_command, DeliveryStatus::kAnswered, w.Snapshot(),
@@ -35,14 +35,14 @@
                          [&](const FakeWorker& w) { return w.id() == id; });
   }
 
-  void Round(Node& node) {
+  void Round(TestController& node) {
     node.core.Tick(now, wall);
     while (node.WriteOnce(now)) Check();
     DirectCommand(node);
     Check();
     for (FakeWorker& w : workers_) Heartbeat(node, w);
     Check();
-    Pass(0.3);
+    AdvanceTime(0.3);
   }
 
   // The rules, as far as this world can break them.
@@ -52,7 +52,7 @@
     for (const FakeWorker& w : workers_)
       for (const auto& [job, tasks] : jobs_)
         for (std::uint32_t i = 0; i < tasks; ++i)
-          if (w.Has(TaskOf(job, i))) {
+          if (w.HasLiveTask(TaskOf(job, i))) {
             EXPECT_EQ(++live[TaskOf(job, i)], 1) << job << "/" << i << " runs twice";
             if (job == "j-2") blue += 2;
           }
@@ -72,8 +72,8 @@
   // set beforehand. Returns how often it ended.
   int Play(const std::vector<int>& ends, bool at_commits) {
     store = FakeStore{};
-    store.at_the_end = fault_;
-    nodes_.clear();
+    store.crash_fault = fault_;
+    controllers_.clear();
     workers_.clear();
     late_.clear();
     now = {100};
@@ -82,11 +82,11 @@
     std::size_t next = 0;
     const auto arm = [&] {
       const int at = next < ends.size() ? ends[next] : -1;
-      (at_commits ? store.commits_until_end : pushes_until_end) = at;
+      (at_commits ? store.commits_until_crash : pushes_until_end) = at;
     };
     arm();
     int ended = 0;
-    Node* node = nullptr;
+    TestController* node = nullptr;
     const auto over = [&](const std::string& state) { return state == "done"; };
     for (int round = 0; round < 80; ++round) {
       try {
@@ -105,16 +105,16 @@
           late_.pop_front();
           Check();
         }
-        if (round % 4 == 1 && store.holds_back()) store.Deliver();
+        if (round % 4 == 1 && store.has_delayed_transactions()) store.DeliverDelayed();
         if (over(node->State("j-1")) && over(node->State("j-2"))) break;
-      } catch (const FakeStore::Ended&) {
+      } catch (const FakeStore::Crashed&) {
         node = nullptr;  // back at once
         ++ended;
         ++next;
         arm();
       }
     }
-    store.commits_until_end = pushes_until_end = -1;
+    store.commits_until_crash = pushes_until_end = -1;
     EXPECT_NE(node, nullptr);
     if (node == nullptr) return ended;
     EXPECT_EQ(node->State("j-1"), "done");
@@ -134,7 +134,7 @@
 TEST_F(QuickRestartTest, LeaderRestartsAtEveryWriteAndCommand) {
   int points = 0;
   for (const bool at_commits : {true, false})
-    for (const Fault fault : {Fault::kRefuse, Fault::kLoseAnswer, Fault::kLandLater})
+    for (const Fault fault : {Fault::kRefuse, Fault::kLoseResponse, Fault::kCommitLate})
       for (int at = 0;; ++at) {
         const auto play = [&](const std::vector<int>& ends) {
           SCOPED_TRACE(std::string(at_commits ? "commit " : "command ") + std::to_string(at) +
@@ -157,8 +157,8 @@
 // alive after all, can write and command nothing any more.
 TEST_F(QuickRestartTest, LeaderRestartsBeforeItsOldLeaseExpires) {
   FakeWorker& w = AddWorker("m-1", "large");
-  Node& before = AddNode("n0");
-  Node& other = AddNode("n1");
+  TestController& before = AddController("n0");
+  TestController& other = AddController("n1");
   ASSERT_TRUE(before.TakeOver(now));
   ASSERT_FALSE(other.TakeOver(now));
   Settle(before);
@@ -166,7 +166,7 @@
   before.core.Tick(now, wall);
   const WriteBatch plan = before.core.NextWriteBatch(now);  // sent, and nobody heard the answer
   ASSERT_FALSE(plan.empty());
-  Node& after = Again("n0");
+  TestController& after = Again("n0");
   ASSERT_TRUE(after.TakeOver(now)) << "it waits for no lease";
   EXPECT_GT(after.leadership.epoch, before.leadership.epoch);
   EXPECT_FALSE(other.TakeOver(now));
@@ -174,17 +174,17 @@
   EXPECT_EQ(store.Commit(records::ToTransaction(plan, before.leadership)).status,
             StoreStatus::kConflict);
   Settle(after);
-  EXPECT_EQ(w.Live(), 2U);
-  EXPECT_FALSE(w.Take(before.core.OnHeartbeat(w.Snapshot(), now)));
+  EXPECT_EQ(w.LiveTaskCount(), 2U);
+  EXPECT_FALSE(w.Deliver(before.core.OnHeartbeat(w.Snapshot(), now)));
 }
 
 // All end at once and are back one after the other. While the old leader's key lives
 // nobody guesses; if it does not come, its lease ends and another leads.
 TEST_F(QuickRestartTest, AllControllersRestartAtDifferentTimes) {
-  Node& before = AddNode("n0");
+  TestController& before = AddController("n0");
   ASSERT_TRUE(before.TakeOver(now));
   EXPECT_FALSE(Again("n1").TakeOver(now));
-  Node& third = Again("n2");
+  TestController& third = Again("n2");
   EXPECT_FALSE(third.TakeOver(now));
   EXPECT_TRUE(Again("n0").TakeOver(now));
   EXPECT_FALSE(third.TakeOver(now));
@@ -196,16 +196,16 @@
 // when the next run has written its own: it must not bring back what goes with a lease
 // that is about to end.
 TEST_F(QuickRestartTest, LateElectionWritesChangeNothing) {
-  store.at_the_end = Fault::kLandLater;
+  store.crash_fault = Fault::kCommitLate;
   for (int at = 0; at < 3; ++at) {
-    store.commits_until_end = at;
-    EXPECT_THROW(Again("n0").TakeOver(now), FakeStore::Ended);
+    store.commits_until_crash = at;
+    EXPECT_THROW(Again("n0").TakeOver(now), FakeStore::Crashed);
   }
-  Node& last = Again("n0");
+  TestController& last = Again("n0");
   ASSERT_TRUE(last.TakeOver(now));
-  const auto before = store.Range(records::kControl, "", 10).entries;
-  while (store.holds_back()) EXPECT_FALSE(store.Deliver());
-  const auto after = store.Range(records::kControl, "", 10).entries;
+  const auto before = store.Range(records::kControlPrefix, "", 10).entries;
+  while (store.has_delayed_transactions()) EXPECT_FALSE(store.DeliverDelayed());
+  const auto after = store.Range(records::kControlPrefix, "", 10).entries;
   ASSERT_EQ(before.size(), after.size());
   for (std::size_t i = 0; i < after.size(); ++i) EXPECT_EQ(before[i].revision, after[i].revision);
 }
@@ -214,7 +214,7 @@
   std::size_t keys = 0;
   for (int i = 0; i < 50; ++i) {
     const int before = store.commits;
-    Node& node = Again("n0");
+    TestController& node = Again("n0");
     ASSERT_TRUE(node.TakeOver(now));
     EXPECT_LE(store.commits - before, 3);
     const std::size_t now_there = store.Range("", "", 1000).entries.size();
@@ -222,24 +222,24 @@
       EXPECT_EQ(now_there, keys);
     }
     keys = now_there;
-    nodes_.clear();
+    controllers_.clear();
   }
 }
 
 // What users repeat at the next run of the process, after an answer that nobody heard.
 TEST_F(QuickRestartTest, RepeatedRequestsFindWhatIsDurable) {
-  store.at_the_end = Fault::kLoseAnswer;
-  store.commits_until_end = 0;
-  EXPECT_THROW(Submit(AddNode("n0"), MakeJob("j-1")), FakeStore::Ended);
-  Node& next = Again("n0");
+  store.crash_fault = Fault::kLoseResponse;
+  store.commits_until_crash = 0;
+  EXPECT_THROW(Submit(AddController("n0"), MakeJob("j-1")), FakeStore::Crashed);
+  TestController& next = Again("n0");
   EXPECT_EQ(Submit(next, MakeJob("j-1")), 200) << "it was accepted";
-  store.commits_until_end = 0;
-  EXPECT_THROW(next.api.Cancel("j-1"), FakeStore::Ended);
-  Node& third = Again("n0");
+  store.commits_until_crash = 0;
+  EXPECT_THROW(next.api.Cancel("j-1"), FakeStore::Crashed);
+  TestController& third = Again("n0");
   EXPECT_EQ(third.State("j-1"), "queued") << "its tasks are stopped; nobody has been told";
-  store.commits_until_end = 0;
-  EXPECT_THROW(third.api.Cancel("j-1"), FakeStore::Ended);
-  Node& last = Again("n0");
+  store.commits_until_crash = 0;
+  EXPECT_THROW(third.api.Cancel("j-1"), FakeStore::Crashed);
+  TestController& last = Again("n0");
   EXPECT_EQ(last.State("j-1"), "withdrawn");
   EXPECT_EQ(last.api.Cancel("j-1").status, 200);
   EXPECT_EQ(Submit(last, MakeJob("j-1")), 200);
@@ -252,22 +252,22 @@
 TEST_F(QuickRestartTest, MachineThatLostItsStateIsDetected) {
   FakeWorker& w = AddWorker("m-1");
   FakeWorker& other = AddWorker("m-2");
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
   Run(node, MakeJob("j-1", 2));
   for (int i = 0; i < 3; ++i) Round(node);
-  FakeWorker& gone = w.Live() > 0 ? w : other;
+  FakeWorker& gone = w.LiveTaskCount() > 0 ? w : other;
   magpie::Heartbeat of_before = gone.Snapshot();
   of_before.sequence += 5;  // its last report is still on its way
   gone.Restart(true);
   jobs_ = {{"j-1", 2}};
   for (int i = 0; i < 12; ++i) {
-    if (i == 6) gone.Take(node.core.OnHeartbeat(of_before, now));
+    if (i == 6) gone.Deliver(node.core.OnHeartbeat(of_before, now));
     Round(node);
   }
-  EXPECT_EQ(LiveEverywhere(), 2U);
-  EXPECT_EQ(node.core.Counts({"j-1"})->running, 2U);
+  EXPECT_EQ(CountLiveTasks(), 2U);
+  EXPECT_EQ(node.core.GetJobProgress({"j-1"})->running, 2U);
 }
 
 // A copy of a `run` from before arrives at the machine that forgot all, which nothing
@@ -276,7 +276,7 @@
   FakeWorker& w = AddWorker("m-1");
   AddWorker("m-2");
   AddWorker("m-3");
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
   Run(node, MakeJob("j-1", 6));
@@ -289,7 +289,7 @@
     sent.push_back(*direct_command);
     node.core.OnDirectCommandResult(*direct_command, DeliveryStatus::kUnknown, std::nullopt, now);
   }
-  ASSERT_EQ(LiveEverywhere(), 6U);
+  ASSERT_EQ(CountLiveTasks(), 6U);
   jobs_ = {{"j-1", 6}};
   for (FakeWorker& per_task : workers_) Heartbeat(node, per_task);
   w.Restart(true);
@@ -299,23 +299,23 @@
         WorkerOf(direct_command.machine).Take(direct_command);
     Round(node);
   }
-  EXPECT_EQ(LiveEverywhere(), 6U);
+  EXPECT_EQ(CountLiveTasks(), 6U);
 }
 
 // The other way that the protocol leaves open: numbers and token kept, tasks lost.
 TEST_F(QuickRestartTest, MachineThatKeptItsSequenceNumbersRunsItsTasksAgain) {
   FakeWorker& w = AddWorker("m-1");
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
   Run(node, MakeJob("j-1", 2));
   Settle(node);
-  ASSERT_EQ(w.Live(), 2U);
+  ASSERT_EQ(w.LiveTaskCount(), 2U);
   w.Restart(false);
   Heartbeat(node, w);
-  EXPECT_EQ(node.core.Counts({"j-1"})->running, 0U) << "counts tell the truth meanwhile";
+  EXPECT_EQ(node.core.GetJobProgress({"j-1"})->running, 0U) << "counts tell the truth meanwhile";
   Settle(node);
-  EXPECT_EQ(w.Live(), 2U);
+  EXPECT_EQ(w.LiveTaskCount(), 2U);
 }
 
 }  // namespace
--- a/tests/quota_test.cc
+++ b/tests/quota_test.cc
@@ -21,7 +21,7 @@
   // soon written again.
   void Begin(std::uint32_t tasks, bool single_zone = false, bool spread = false) {
     m1 = &AddWorker("m-1", "large", "a");
-    before = &AddNode("n0");
+    before = &AddController("n0");
     ASSERT_TRUE(before->TakeOver(now));
     Heartbeat(*before, *m1);
     JobSpec many = MakeJob("j-9", 60);
@@ -39,7 +39,7 @@
     double use = 0;
     for (const FakeWorker& w : workers_)
       for (const char* job : {"j-1", "j-2"})
-        for (std::uint32_t i = 0; i < 3; ++i) use += w.Has({{job}, i}) ? 2 : 0;
+        for (std::uint32_t i = 0; i < 3; ++i) use += w.HasLiveTask({{job}, i}) ? 2 : 0;
     return use;
   }
 
@@ -59,7 +59,7 @@
 
   void NextLeads() {
     store.ExpireLeases();
-    after = &AddNode("n1");
+    after = &AddController("n1");
     ASSERT_TRUE(after->TakeOver(now));
   }
 
@@ -80,12 +80,12 @@
           EXPECT_LE(BlueUse(), kLimit);
         }
       }
-      Pass(1);
+      AdvanceTime(1);
     }
   }
 
   // Asks the machine, if the leader wants to.
-  void Probe(Node& node, FakeWorker& worker) {
+  void Probe(TestController& node, FakeWorker& worker) {
     while (const auto probe = node.core.NextProbe(now)) {
       ASSERT_EQ(probe->machine, worker.id()) << "the others are heard";
       worker.Take(*probe);
@@ -93,8 +93,8 @@
     }
   }
 
-  Node* before = nullptr;
-  Node* after = nullptr;
+  TestController* before = nullptr;
+  TestController* after = nullptr;
   FakeWorker* m1 = nullptr;
   FakeWorker* m2 = nullptr;
 };
@@ -102,29 +102,29 @@
 // Every way in which a machine that lives gives up a task.
 TEST_F(QuotaTest, UnpersistedUnbindingAllowsNoStartOverTheLimit) {
   const std::map<std::string, std::function<void(FakeWorker&)>> ways{
-      {"a new session", [](FakeWorker& w) { w.LeaseEnds(); }},
+      {"a new session", [](FakeWorker& w) { w.ExpireLease(); }},
       {"an error", [](FakeWorker& w) { w.EndAll(ExitReason::kError); }},
       {"stopped", [](FakeWorker& w) { w.EndAll(ExitReason::kStopped); }},
-      {"no room", [](FakeWorker& w) { w.EndAll(ExitReason::kNoRoom); }},
+      {"no room", [](FakeWorker& w) { w.EndAll(ExitReason::kInsufficientCapacity); }},
       {"busy", [](FakeWorker& w) { w.EndAll(ExitReason::kBusy); }},
       {"unknown", [](FakeWorker& w) { w.EndAll(ExitReason::kUnknown); }},
       {"a notice",
        [](FakeWorker& w) {
          w.Restart(false);
-         w.Notice({300});
+         w.SetPreemptionNotice({300});
        }},
   };
   for (const auto& [name, way] : ways)
     for (const bool m1_first : {true, false}) {
       SCOPED_TRACE(name + (m1_first ? ", m-1 reports first" : ", m-2 reports first"));
       store = FakeStore{};
-      nodes_.clear();
+      controllers_.clear();
       workers_.clear();
       Begin(3);
       way(*m1);
       AnotherTakesItsPlace();
       // It has forgotten what ended, at n0's word.
-      m1->Take(before->core.OnHeartbeat(m1->Snapshot(), now));
+      m1->Deliver(before->core.OnHeartbeat(m1->Snapshot(), now));
       NextLeads();
       BothReport(m1_first);
       EXPECT_EQ(BlueUse(), kLimit) << "all that the limit allows runs";
@@ -136,7 +136,7 @@
   for (const bool m1_first : {true, false}) {
     SCOPED_TRACE(m1_first);
     store = FakeStore{};
-    nodes_.clear();
+    controllers_.clear();
     workers_.clear();
     Begin(3, true);
     m1->EndAll(ExitReason::kStopped);
@@ -149,7 +149,7 @@
     before->core.Tick(now, wall);
     m2 = &AddWorker("m-2", "small", "b");
     for (int i = 0; i < 3; ++i) {
-      Pass(1);
+      AdvanceTime(1);
       Heartbeat(*before, *m2);
       before->core.Tick(now, wall);
       while (before->WriteOnce(now)) {
@@ -157,17 +157,19 @@
     }
     Heartbeat(*before, *m2);
     ASSERT_EQ(BlueUse(), 4) << "two of them run in zone b";
-    m1->Take(before->core.OnHeartbeat(m1->Snapshot(), now));  // it forgets what ended
+    m1->Deliver(before->core.OnHeartbeat(m1->Snapshot(), now));  // it forgets what ended
     NextLeads();
     for (int i = 0; i < 8; ++i) {
       for (FakeWorker* w : {m1_first ? m1 : m2, m1_first ? m2 : m1}) {
         Heartbeat(*after, *w);
-        EXPECT_EQ(m1->Has({{"j-1"}, 0}) + m1->Has({{"j-1"}, 1}) + m1->Has({{"j-1"}, 2}), 0);
+        EXPECT_EQ(m1->HasLiveTask({{"j-1"}, 0}) + m1->HasLiveTask({{"j-1"}, 1}) +
+                      m1->HasLiveTask({{"j-1"}, 2}),
+                  0);
       }
       after->core.Tick(now, wall);
       while (after->WriteOnce(now)) {
       }
-      Pass(1);
+      AdvanceTime(1);
     }
     EXPECT_EQ(BlueUse(), 4);
   }
@@ -180,14 +182,14 @@
   Begin(3);
   for (std::uint32_t i = 0; i < 3; ++i) m1->End({{"j-1"}, i}, ExitReason::kDone);
   const magpie::Heartbeat of_the_results = m1->Snapshot();
-  m1->LeaseEnds();  // n0 never heard of them, and ends
+  m1->ExpireLease();  // n0 never heard of them, and ends
   NextLeads();
   Heartbeat(*after, *m1);
   Heartbeat(*after, *m1);
   Heartbeat(*after, *m1);
   ASSERT_EQ(BlueUse(), kLimit) << "the same attempts once more";
   store.ExpireLeases();
-  Node& third = AddNode("n2");
+  TestController& third = AddController("n2");
   ASSERT_TRUE(third.TakeOver(now));
   third.core.OnHeartbeat(of_the_results, now);
   Run(third, Blue("j-2", 3, Priority::kProduction));
@@ -221,7 +223,7 @@
   const auto said = [this] { Heartbeat(*after, *m1); };
   const std::map<std::string, std::function<void()>> ways{
       {"it is said anew", said},
-      {"a new session", [&] { m1->LeaseEnds(), said(); }},
+      {"a new session", [&] { m1->ExpireLease(), said(); }},
       {"its tasks are lost", [&] { m1->Restart(false), said(); }},
       {"all is lost", [&] { m1->Restart(true), said(); }},
       {"its machine is returned",
@@ -230,7 +232,7 @@
   for (const auto& [name, way] : ways) {
     SCOPED_TRACE(name);
     store = FakeStore{};
-    nodes_.clear();
+    controllers_.clear();
     workers_.clear();
     Begin(3);
     for (std::uint32_t i = 0; i < 3; ++i) m1->End({{"j-1"}, i}, ExitReason::kDone);
@@ -248,7 +250,7 @@
       }
       for (FakeWorker* w : free) Heartbeat(*after, *w);
       EXPECT_LE(BlueUse(), kLimit);
-      Pass(1);
+      AdvanceTime(1);
     };
     for (int i = 0; i < 3; ++i) round();
     EXPECT_EQ(after->core.GetStatus().pending, 3U) << "j-4 has its place, j-2 waits";
@@ -274,11 +276,11 @@
 // A limit that was lowered while nobody led starts nothing above it either.
 TEST_F(QuotaTest, LoweredLimitStartsNothingAboveIt) {
   Begin(3);
-  m1->LeaseEnds();
+  m1->ExpireLease();
   store.ExpireLeases();
   Scheduler::Options options = DefaultOptions();
   options.teams[1].cpus_max = 2;
-  after = &nodes_.emplace_back(store, "n1", options);
+  after = &controllers_.emplace_back(store, "n1", options);
   ASSERT_TRUE(after->TakeOver(now));
   for (int i = 0; i < 5; ++i) {
     Heartbeat(*after, *m1);
@@ -286,7 +288,7 @@
     after->core.Tick(now, wall);
     while (after->WriteOnce(now)) {
     }
-    Pass(1);
+    AdvanceTime(1);
   }
   EXPECT_EQ(BlueUse(), 2);
 }
--- a/tests/reachability_test.cc
+++ b/tests/reachability_test.cc
@@ -9,7 +9,7 @@
 namespace {
 
 // Fails all probes that are due; how many there were.
-int FailProbes(Node& node, Instant now) {
+int FailProbes(TestController& node, Instant now) {
   int n = 0;
   for (; auto probe = node.core.NextProbe(now); ++n)
     node.core.OnDirectCommandResult(*probe, DeliveryStatus::kNotSent, std::nullopt, now);
@@ -61,7 +61,7 @@
 // Found at the start of a day: a flood of submissions made the state service
 // refuse renewals, and the leader resigned though its lease lived on.
 TEST_F(ReachabilityTest, RefusedRenewalDoesNotEndTheLeadership) {
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   ASSERT_TRUE(node.TakeOver(now));
   const auto before = node.election.view().leadership;
   store.outage = true;
@@ -75,78 +75,79 @@
 // Found on a day when many machines failed all they got: each drew several
 // tasks before it was left alone.
 TEST_F(ReachabilityTest, OneFailureOfAHealthyJobIsEnough) {
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   FakeWorker& first = AddWorker("m-1");
   FakeWorker& second = AddWorker("m-2");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
   Run(node, MakeJob("j-1", 1));
   Settle(node);
-  FakeWorker& one = first.Live() > 0 ? first : second;
+  FakeWorker& one = first.LiveTaskCount() > 0 ? first : second;
   one.EndAll(ExitReason::kError);
   Heartbeat(node, one);
   node.core.Tick(now, wall);
-  EXPECT_TRUE(Released(RunCloud(node)).empty()) << "the job may be at fault";
-  Pass(3);  // until then the machine is in doubt
+  EXPECT_TRUE(ReleasedMachines(RunCloud(node)).empty()) << "the job may be at fault";
+  AdvanceTime(3);  // until then the machine is in doubt
   Settle(node);
   Run(node, MakeJob("j-2", 3));
   Settle(node);
-  FakeWorker& sick = first.Has(TaskOf("j-2", 0)) ? first : second;
+  FakeWorker& sick = first.HasLiveTask(TaskOf("j-2", 0)) ? first : second;
   FakeWorker& good = &sick == &first ? second : first;
-  ASSERT_GT(good.Live(), 0U);
+  ASSERT_GT(good.LiveTaskCount(), 0U);
   sick.EndAll(ExitReason::kError);
   good.EndAll(ExitReason::kDone);
   Settle(node, 1);
   Settle(node, 1);
-  EXPECT_EQ(Released(RunCloud(node)), std::set<MachineId>{sick.id()});
+  EXPECT_EQ(ReleasedMachines(RunCloud(node)), std::set<MachineId>{sick.id()});
 }
 
 // Found on a day when 72 machines died at once: they were given up only after
 // many report intervals. A machine that misses a report and does not answer
 // two probes is gone, unless its zone is silent.
 TEST_F(ReachabilityTest, DeadMachineIsDistinguishedFromAPartitionedZone) {
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   for (int i = 0; i < 6; ++i) AddWorker("m-" + std::to_string(i));
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
   Run(node, MakeJob("j-1", 12));
   Settle(node);
   const MachineId dead{"m-0"};
-  silent_.insert(dead);
+  unresponsive_workers_.insert(dead);
   for (int i = 0; i < 8; ++i) {
-    Pass(1);
+    AdvanceTime(1);
     FailProbes(node, now);
     Settle(node, 1);
   }
-  EXPECT_EQ(Released(RunCloud(node)), std::set<MachineId>{dead});
-  for (FakeWorker& w : workers_) silent_.insert(w.id());
+  EXPECT_EQ(ReleasedMachines(RunCloud(node)), std::set<MachineId>{dead});
+  for (FakeWorker& w : workers_) unresponsive_workers_.insert(w.id());
   for (int i = 0; i < 10; ++i) {
-    Pass(1);
+    AdvanceTime(1);
     FailProbes(node, now);
     node.core.Tick(now, wall);
   }
-  EXPECT_TRUE(Released(RunCloud(node)).empty()) << "the whole zone is silent: it is cut off";
+  EXPECT_TRUE(ReleasedMachines(RunCloud(node)).empty())
+      << "the whole zone is silent: it is cut off";
 }
 
 // Found on the same day: one worker that had come by another controller kept
 // its zone's dead machines from being given up.
 TEST_F(ReachabilityTest, OneRelayedHeartbeatSuspectsNoZone) {
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   for (int i = 0; i < 12; ++i) AddWorker("m-" + std::to_string(10 + i));
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
   Run(node, MakeJob("j-1", 24));
   Settle(node);
   const MachineId dead{"m-10"};
-  silent_.insert(dead);
+  unresponsive_workers_.insert(dead);
   for (int i = 0; i < 8; ++i) {
-    Pass(1);
+    AdvanceTime(1);
     FailProbes(node, now);
-    workers_.back().Take(node.core.OnHeartbeat(workers_.back().Snapshot(), now, true));
-    silent_.insert(workers_.back().id());
+    workers_.back().Deliver(node.core.OnHeartbeat(workers_.back().Snapshot(), now, true));
+    unresponsive_workers_.insert(workers_.back().id());
     Settle(node, 1);
   }
-  EXPECT_TRUE(Released(RunCloud(node)).contains(dead));
+  EXPECT_TRUE(ReleasedMachines(RunCloud(node)).contains(dead));
 }
 
 // Found on a day when the leader's zone and another were apart: the first few
@@ -154,24 +155,24 @@
 // before that 20 whose probes were refused at once.
 TEST_F(ReachabilityTest, PartitionedZoneIsKeptWhenItsFirstHeartbeatsAreRelayed) {
   constexpr int kMachines = 30;
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   for (int i = 0; i < kMachines; ++i) AddWorker("m-" + std::to_string(10 + i));
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
   Run(node, MakeJob("j-1", 2 * kMachines));
   Settle(node);
-  for (FakeWorker& w : workers_) silent_.insert(w.id());
+  for (FakeWorker& w : workers_) unresponsive_workers_.insert(w.id());
   for (int i = 0; i < 16; ++i) {
-    Pass(1);
+    AdvanceTime(1);
     while (FailProbes(node, now) > 0) {
     }
     if (i >= 5) {
       FakeWorker& w = workers_.back();
-      w.Take(node.core.OnHeartbeat(w.Snapshot(), now, true));
+      w.Deliver(node.core.OnHeartbeat(w.Snapshot(), now, true));
     }
     node.core.Tick(now, wall);
   }
-  EXPECT_TRUE(Released(RunCloud(node)).empty());
+  EXPECT_TRUE(ReleasedMachines(RunCloud(node)).empty());
 }
 
 // 161 machines that hung at once were found one by one as their reports became
@@ -180,19 +181,19 @@
   constexpr int kMachines = 30;
   Scheduler::Options options = DefaultOptions();
   options.heartbeat_interval = {10};
-  Node& node = nodes_.emplace_back(store, "n0", options);
+  TestController& node = controllers_.emplace_back(store, "n0", options);
   for (int i = 0; i < kMachines; ++i) AddWorker("m-" + std::to_string(i));
   ASSERT_TRUE(node.TakeOver(now));
   int k = 0;
   for (FakeWorker& w : workers_) {  // half a second apart
     Heartbeat(node, w);
-    Pass(++k % 2 == 0 ? 0.5 : 0);
+    AdvanceTime(++k % 2 == 0 ? 0.5 : 0);
   }
   // All hang. The first ones are late at 13.3 s, the last one 7 s later.
-  Pass(6.8);
+  AdvanceTime(6.8);
   int asked = 0;
   for (int step = 0; step < 8; ++step) {
-    Pass(0.25);
+    AdvanceTime(0.25);
     asked += FailProbes(node, now);
   }
   EXPECT_GE(asked, kMachines * 2 / 3) << "those unheard for 4 s, without waiting for the rest";
--- a/tests/record_page_test.cc
+++ b/tests/record_page_test.cc
@@ -13,26 +13,26 @@
 // second.
 TEST_F(RecordPageTest, BindingsOfManyJobsTakeOneWrite) {
   constexpr int kJobs = 40;
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   for (int i = 0; i < 6; ++i) AddWorker("m-" + std::to_string(i), "large");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
   for (int j = 1; j <= kJobs; ++j) Run(node, MakeJob("j-" + std::to_string(j)));
-  Pass(2);
+  AdvanceTime(2);
   node.core.Tick(now, wall);
   const WriteBatch plan = node.core.NextWriteBatch(now);
   ASSERT_EQ(plan.puts.size(), 1U);
   EXPECT_EQ(plan.puts.front().records.size(), static_cast<std::size_t>(kJobs));
   EXPECT_EQ(node.Finish(plan, now).status, WriteOutcome::Status::kWritten);
   Settle(node);
-  EXPECT_EQ(LiveEverywhere(), static_cast<std::size_t>(kJobs));
+  EXPECT_EQ(CountLiveTasks(), static_cast<std::size_t>(kJobs));
 
   // What is written later shares the page and keeps what is in it.
   Run(node, MakeJob("j-99"));
   Settle(node);
-  EXPECT_LE(store.Range(records::kPages, "", 100).entries.size(), 2U);
+  EXPECT_LE(store.Range(records::kPagePrefix, "", 100).entries.size(), 2U);
   store.ExpireLeases();
-  Node& next = AddNode("n1");
+  TestController& next = AddController("n1");
   ASSERT_TRUE(next.TakeOver(now));
   EXPECT_EQ(next.core.GetStatus().bound, static_cast<std::size_t>(kJobs + 1));
   Settle(next);
@@ -43,12 +43,12 @@
 // One cancellation on its way must not bind anything of its job, and must not
 // cost the others their attempts.
 TEST_F(RecordPageTest, CancelledJobAmongOthersIsNotBoundWithThem) {
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   AddWorker("m-1", "large");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
   for (const char* id : {"j-1", "j-2", "j-3"}) Run(node, MakeJob(id));
-  Pass(2);
+  AdvanceTime(2);
   node.core.Tick(now, wall);
   const WriteBatch plan = node.core.NextWriteBatch(now);
   ASSERT_EQ(plan.puts.front().records.size(), 3U);
@@ -65,7 +65,7 @@
 TEST_F(RecordPageTest, PageWrittenForOthersBindsNothing) {
   Scheduler::Options options = DefaultOptions();
   options.max_operations = 4;
-  Node& node = nodes_.emplace_back(store, "n0", options);
+  TestController& node = controllers_.emplace_back(store, "n0", options);
   FakeWorker& w = AddWorker("m-1", "large");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
@@ -73,16 +73,16 @@
   Settle(node);
   w.EndAll(ExitReason::kError);  // its first attempt is over, and durable as bound
   Heartbeat(node, w);
-  Pass(3);  // until then the machine is in doubt
+  AdvanceTime(3);  // until then the machine is in doubt
   Settle(node);
-  ASSERT_TRUE(w.Has(TaskOf("j-1"))) << "bound again";
+  ASSERT_TRUE(w.HasLiveTask(TaskOf("j-1"))) << "bound again";
   w.End(TaskOf("j-1"), ExitReason::kStopped);
   Heartbeat(node, w);
   node.core.Tick(now, wall);  // its third attempt is to be written
   JobSpec bindings_unpersisted = MakeJob("j-2");
   bindings_unpersisted.priority = Priority::kProduction;
   Run(node, bindings_unpersisted);
-  Pass(0.3);
+  AdvanceTime(0.3);
   node.core.Tick(now, wall);
   WriteBatch plan = node.core.NextWriteBatch(now);
   ASSERT_EQ(plan.puts.size(), 1U);
@@ -102,7 +102,7 @@
 
 // Blocks of one job, as earlier versions wrote them, are read and superseded.
 TEST_F(RecordPageTest, BlocksOfEarlierVersionsAreReadAndDropped) {
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   FakeWorker& w = AddWorker("m-1", "large");
   ASSERT_EQ(Submit(node, MakeJob("j-1", 3)), 201);
   Transaction old;
@@ -113,20 +113,20 @@
                          std::nullopt});
   ASSERT_EQ(store.Commit(old).status, StoreStatus::kOk);
   ASSERT_TRUE(node.TakeOver(now));
-  EXPECT_EQ(node.core.Counts({"j-1"})->done, 1U);
+  EXPECT_EQ(node.core.GetJobProgress({"j-1"})->done, 1U);
   EXPECT_EQ(node.core.GetStatus().bound, 2U) << "the later attempt counts, wherever it stands";
   Settle(node);
-  EXPECT_TRUE(w.Has(TaskOf("j-1", 1)));
+  EXPECT_TRUE(w.HasLiveTask(TaskOf("j-1", 1)));
   w.EndAll(ExitReason::kDone);
   Settle(node);
-  Pass(10);
+  AdvanceTime(10);
   Settle(node);
   EXPECT_EQ(node.State("j-1"), "done");
-  EXPECT_TRUE(store.Range(records::kBlocks, "", 10).entries.empty());
+  EXPECT_TRUE(store.Range(records::kBlockPrefix, "", 10).entries.empty());
 }
 
 TEST_F(RecordPageTest, HeartbeatWithThousandsOfUnknownTasksIsAnswered) {
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   FakeWorker& w = AddWorker("m-1");
   ASSERT_TRUE(node.TakeOver(now));
   Heartbeat(node, w);
--- a/tests/safety_check_test.cc
+++ b/tests/safety_check_test.cc
@@ -84,18 +84,18 @@
     ::testing::Values(DisabledCheck{"PageCondition", SafetyCheck::kPageCondition},
                       DisabledCheck{"SubmitCondition", SafetyCheck::kSubmitCondition},
                       DisabledCheck{"FinalAfterUnbound", SafetyCheck::kFinalAfterUnbound},
-                      DisabledCheck{"ResultOfUnboundAlone", SafetyCheck::kResultOfUnboundOnly},
+                      DisabledCheck{"ResultOfUnboundAlone", SafetyCheck::kResultOnlyIfUnbound},
                       DisabledCheck{"AllControllersTold", SafetyCheck::kAllControllersAcknowledged},
                       DisabledCheck{"CancelCondition", SafetyCheck::kCancelCondition},
-                      DisabledCheck{"ReadAfterQuestion", SafetyCheck::kReadAfterQuestion},
+                      DisabledCheck{"ReadAfterQuestion", SafetyCheck::kReadAfterRequest},
                       DisabledCheck{"LiveBeforeFinal", SafetyCheck::kLiveBeforeFinal},
-                      DisabledCheck{"RunOfDurableAlone", SafetyCheck::kRunOfDurableOnly},
+                      DisabledCheck{"RunOfDurableAlone", SafetyCheck::kStartOnlyDurable},
                       DisabledCheck{"MayStart", SafetyCheck::kQuotaBeforeStart},
                       DisabledCheck{"ReadLatestRecord", SafetyCheck::kReadLatestRecord},
-                      DisabledCheck{"FenceSeen", SafetyCheck::kFenceSeen},
+                      DisabledCheck{"FenceSeen", SafetyCheck::kFencingTokenSeen},
                       DisabledCheck{"RaiseAfterNoAnswer", SafetyCheck::kRaiseAfterNoAnswer},
                       DisabledCheck{"ReportOrder", SafetyCheck::kHeartbeatOrder},
-                      DisabledCheck{"EndBeforeOurTerm", SafetyCheck::kEndBeforeOurTerm}),
+                      DisabledCheck{"EndBeforeOurTerm", SafetyCheck::kEndBeforeThisEpoch}),
     [](const auto& info) { return std::string(info.param.name); });
 
 }  // namespace
--- a/tests/scenario_cluster.h
+++ b/tests/scenario_cluster.h
@@ -66,7 +66,7 @@
   // ---- Tasks
   void Complete(const TaskId& task) {
     for (Machine& machine : machines)
-      if (!machine.removed && machine.worker.Has(task)) {
+      if (!machine.removed && machine.worker.HasLiveTask(task)) {
         machine.worker.End(task, ExitReason::kDone);
         completed.insert(task);
       }
@@ -150,7 +150,7 @@
                                     false,
                                     {answer.at("crest").get<std::uint64_t>()},
                                     protocol::CommandsFromJson(answer.at("calls"))};
-      if (machine.worker.Take(reply)) machine.lease_renewed = now;
+      if (machine.worker.Deliver(reply)) machine.lease_renewed = now;
     });
     Run(1);
   }
--- a/tests/scheduler_test.cc
+++ b/tests/scheduler_test.cc
@@ -7,7 +7,7 @@
 class SchedulerTest : public ClusterTest {};
 
 TEST_F(SchedulerTest, CancellationOvertakesABindingInFlight) {
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   FakeWorker& w = AddWorker("m-1");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
@@ -23,7 +23,7 @@
 }
 
 TEST_F(SchedulerTest, SingleZoneAndSpreadAreEnforced) {
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   for (const char* zone : {"a", "b"})
     for (int i = 0; i < 2; ++i)
       AddWorker(std::string("m-") + zone + std::to_string(i), "small", zone);
@@ -37,7 +37,7 @@
     std::size_t n = 0;
     for (FakeWorker& w : workers_)
       for (std::uint32_t i = 0; i < 8; ++i)
-        n += w.Has(TaskOf(job, i)) && w.id().value.substr(2, 1) == zone ? 1 : 0;
+        n += w.HasLiveTask(TaskOf(job, i)) && w.id().value.substr(2, 1) == zone ? 1 : 0;
     return n;
   };
   EXPECT_EQ(tasks_by_zone("a", "j-1") + tasks_by_zone("b", "j-1"), 3U);
@@ -50,7 +50,7 @@
 }
 
 TEST_F(SchedulerTest, ForbiddenMachinesAreNotUsed) {
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   FakeWorker& spot = AddWorker("m-1", "small", "a", true);
   FakeWorker& large = AddWorker("m-2", "large", "b");
   ASSERT_TRUE(node.TakeOver(now));
@@ -59,19 +59,19 @@
   picky.types = {{"small"}};
   Run(node, picky);  // no spot machine and no large one
   Settle(node);
-  EXPECT_EQ(LiveEverywhere(), 0U);
+  EXPECT_EQ(CountLiveTasks(), 0U);
   JobSpec easy = MakeJob("j-2", 2);
   easy.spot = true;
   easy.zone = "a";
   Run(node, easy);
   Settle(node);
-  EXPECT_EQ(spot.Live(), 2U);
-  EXPECT_EQ(large.Live(), 0U);
+  EXPECT_EQ(spot.LiveTaskCount(), 2U);
+  EXPECT_EQ(large.LiveTaskCount(), 0U);
 }
 
 TEST_F(SchedulerTest, PollsAreMonotonic) {
-  Node& node = AddNode("n0");
-  Node& other = AddNode("n1");
+  TestController& node = AddController("n0");
+  TestController& other = AddController("n1");
   AddWorker("m-1");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
@@ -96,18 +96,18 @@
 }
 
 TEST_F(SchedulerTest, MachineThatFailsItsTasksIsAvoided) {
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   FakeWorker& sick = AddWorker("m-1");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
   Run(node, MakeJob("j-1", 2));
   Settle(node);
-  ASSERT_EQ(sick.Live(), 2U);
+  ASSERT_EQ(sick.LiveTaskCount(), 2U);
   sick.EndAll(ExitReason::kError);
   FakeWorker& healthy = AddWorker("m-2");
   Settle(node);
-  EXPECT_EQ(sick.Live(), 0U);
-  EXPECT_EQ(healthy.Live(), 2U);
+  EXPECT_EQ(sick.LiveTaskCount(), 0U);
+  EXPECT_EQ(healthy.LiveTaskCount(), 2U);
   healthy.EndAll(ExitReason::kDone);  // now it is known that the job is not at fault
   Settle(node);
   bool released = false;
@@ -117,30 +117,30 @@
 }
 
 TEST_F(SchedulerTest, SlowMachineIsAvoidedAndCheckpointingTasksMove) {
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   FakeWorker& slow = AddWorker("m-1", "large");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
   for (int n = 1; n <= 4; ++n) {
     JobSpec job = MakeJob("j-" + std::to_string(n));
-    job.checkpoint = {10};
+    job.checkpoint_interval = {10};
     Run(node, job);
   }
   for (int i = 0; i < 20; ++i) {  // 80 s for tasks of 30 s
     Settle(node, 1);
-    Pass(4);
+    AdvanceTime(4);
   }
-  EXPECT_EQ(slow.Live(), 0U);
+  EXPECT_EQ(slow.LiveTaskCount(), 0U);
   FakeWorker& other = AddWorker("m-2", "large");
   Settle(node);
-  EXPECT_EQ(slow.Live(), 0U);
-  EXPECT_EQ(other.Live(), 4U);
+  EXPECT_EQ(slow.LiveTaskCount(), 0U);
+  EXPECT_EQ(other.LiveTaskCount(), 4U);
 }
 
 // Found on quiet days: a job that is longer than its owner thought had dozens of
 // healthy machines cordoned, on each of which three of its tasks overran.
 TEST_F(SchedulerTest, LongJobSuspectsNoMachineUnlessItIsQuickElsewhere) {
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   FakeWorker& one = AddWorker("m-1", "large");
   FakeWorker& two = AddWorker("m-2", "large");
   ASSERT_TRUE(node.TakeOver(now));
@@ -149,30 +149,30 @@
   Settle(node);
   for (int i = 0; i < 25; ++i) {  // 100 s for tasks of 30 s
     Settle(node, 1);
-    Pass(4);
+    AdvanceTime(4);
   }
   one.EndAll(ExitReason::kDone);
   two.EndAll(ExitReason::kDone);
   Settle(node);
   Run(node, MakeJob("j-2", 16));
   Settle(node);
-  EXPECT_EQ(one.Live(), 8U) << "neither was cordoned";
-  EXPECT_EQ(two.Live(), 8U);
-  Pass(20);
+  EXPECT_EQ(one.LiveTaskCount(), 8U) << "neither was cordoned";
+  EXPECT_EQ(two.LiveTaskCount(), 8U);
+  AdvanceTime(20);
   one.EndAll(ExitReason::kDone);
   Run(node, MakeJob("j-3", 8));
   for (int i = 0; i < 10; ++i) {  // what took 20 s there takes 60 s here
     Settle(node, 1);
-    Pass(4);
+    AdvanceTime(4);
   }
-  ASSERT_EQ(one.Live(), 8U);
+  ASSERT_EQ(one.LiveTaskCount(), 8U);
   two.EndAll(ExitReason::kDone);
   one.EndAll(ExitReason::kDone);
   Settle(node);
   Run(node, MakeJob("j-4", 16));
   Settle(node);
-  EXPECT_EQ(one.Live(), 8U);
-  EXPECT_EQ(two.Live(), 0U) << "this one is slow";
+  EXPECT_EQ(one.LiveTaskCount(), 8U);
+  EXPECT_EQ(two.LiveTaskCount(), 0U) << "this one is slow";
 }
 
 TEST(JobPaceTest, TracksRunTimesOnOtherMachines) {
@@ -180,15 +180,15 @@
   pace.Add(1, 0.5);
   pace.Add(1, 0.6);
   pace.Add(2, 1e300);
-  EXPECT_FALSE(pace.Elsewhere(2)) << "two prove nothing";
+  EXPECT_FALSE(pace.MedianOnOtherMachines(2)) << "two prove nothing";
   pace.Add(3, 0.7);
   pace.Add(4, -1);
-  EXPECT_DOUBLE_EQ(*pace.Elsewhere(2), 0.6);
-  EXPECT_DOUBLE_EQ(*pace.Elsewhere(4), 0.7) << "nonsense moves little";
+  EXPECT_DOUBLE_EQ(*pace.MedianOnOtherMachines(2), 0.6);
+  EXPECT_DOUBLE_EQ(*pace.MedianOnOtherMachines(4), 0.7) << "nonsense moves little";
 }
 
 TEST_F(SchedulerTest, EstimatesWrongEverywhereSuspectNoMachine) {
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   FakeWorker& w = AddWorker("m-1", "large");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
@@ -196,16 +196,16 @@
     Run(node, MakeJob("j-" + std::to_string(n), 1));
     for (int i = 0; i < 14; ++i) {  // 56 s for tasks of 30 s
       Settle(node, 1);
-      Pass(4);
+      AdvanceTime(4);
     }
-    ASSERT_EQ(w.Live(), 1U) << n;
+    ASSERT_EQ(w.LiveTaskCount(), 1U) << n;
     w.EndAll(ExitReason::kDone);
     Settle(node);
   }
 }
 
 TEST_F(SchedulerTest, PreemptionNoticeMovesWhatWouldBeLost) {
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   FakeWorker& spot = AddWorker("m-1", "small", "a", true);
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
@@ -213,45 +213,45 @@
   job.spot = true;
   Run(node, job);
   Settle(node);
-  ASSERT_EQ(spot.Live(), 1U);
+  ASSERT_EQ(spot.LiveTaskCount(), 1U);
   AddWorker("m-2");
-  spot.Notice({5});
+  spot.SetPreemptionNotice({5});
   Settle(node);
-  EXPECT_EQ(spot.Live(), 0U);
-  EXPECT_EQ(workers_.back().Live(), 1U);
+  EXPECT_EQ(spot.LiveTaskCount(), 0U);
+  EXPECT_EQ(workers_.back().LiveTaskCount(), 1U);
 }
 
 TEST_F(SchedulerTest, UrgentWorkPreemptsWhatLosesLeast) {
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   FakeWorker& w = AddWorker("m-1", "large");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
   Run(node, MakeJob("j-1", 4));
   for (int i = 0; i < 5; ++i) {
     Settle(node);
-    Pass(4);
+    AdvanceTime(4);
   }
   Run(node, MakeJob("j-2", 4));  // the machine is full now
   Settle(node);
-  ASSERT_EQ(w.Live(), 8U);
-  Pass(2);
+  ASSERT_EQ(w.LiveTaskCount(), 8U);
+  AdvanceTime(2);
   JobSpec equal = MakeJob("j-3");
   equal.deadline = Seconds{35};
   Run(node, equal);
   Settle(node);
-  EXPECT_FALSE(w.Has(TaskOf("j-3"))) << "equal priority stops nothing";
+  EXPECT_FALSE(w.HasLiveTask(TaskOf("j-3"))) << "equal priority stops nothing";
   JobSpec bindings_unpersisted = MakeJob("j-4");
   bindings_unpersisted.priority = Priority::kHigh;
   bindings_unpersisted.deadline = Seconds{35};
   Run(node, bindings_unpersisted);
   Settle(node);
-  EXPECT_TRUE(w.Has(TaskOf("j-4")));
+  EXPECT_TRUE(w.HasLiveTask(TaskOf("j-4")));
   for (std::uint32_t i = 0; i < 4; ++i)
-    EXPECT_TRUE(w.Has(TaskOf("j-1", i))) << "the older ones run on";
+    EXPECT_TRUE(w.HasLiveTask(TaskOf("j-1", i))) << "the older ones run on";
 }
 
 TEST_F(SchedulerTest, LargeArraysFitTheLimits) {
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   for (int i = 0; i < 30; ++i) AddWorker("m-" + std::to_string(i), "large");
   ASSERT_TRUE(node.TakeOver(now));
   for (FakeWorker& w : workers_) Heartbeat(node, w);
@@ -280,7 +280,7 @@
 TEST_F(SchedulerTest, RentalNamesAreNeverReused) {
   std::set<std::string> names;
   for (const char* label : {"n0", "n1"}) {
-    Node& node = AddNode(label);
+    TestController& node = AddController(label);
     ASSERT_TRUE(node.TakeOver(now));
     if (names.empty()) {
       JobSpec job = MakeJob("j-1", 3);
@@ -288,11 +288,11 @@
       node.ReadJobs();
     }
     for (int i = 0; i < 6; ++i) {
-      Pass(2);
+      AdvanceTime(2);
       node.core.Tick(now, wall);
       for (const CloudCall& call : RunCloud(node))
         if (call.kind == CloudCall::Kind::kProvision) {
-          EXPECT_TRUE(names.insert(call.order.name).second);
+          EXPECT_TRUE(names.insert(call.scale_out.name).second);
         }
     }
     store.ExpireLeases();
@@ -303,16 +303,17 @@
 TEST(RunTimeTableTest, LearnsBiasAndIgnoresOutliers) {
   RunTimeTable table;
   JobSpec job = MakeJob("j-1");
-  EXPECT_DOUBLE_EQ(table.Expect(job, "small").value, 30);
+  EXPECT_DOUBLE_EQ(table.ExpectedRunTime(job, "small").value, 30);
   for (int i = 0; i < 9; ++i) table.Learn(job, "small", {60});
   table.Learn(job, "small", {1e300});
   table.Learn(job, "small", {-5});
   table.Learn(job, "small", {0});
-  EXPECT_DOUBLE_EQ(table.Expect(job, "small").value, 60);
-  EXPECT_DOUBLE_EQ(table.Expect(job, "large").value, 60) << "the class's bias serves other types";
+  EXPECT_DOUBLE_EQ(table.ExpectedRunTime(job, "small").value, 60);
+  EXPECT_DOUBLE_EQ(table.ExpectedRunTime(job, "large").value, 60)
+      << "the class's bias serves other types";
   JobSpec endless = job;
   endless.estimate = {1e9};
-  EXPECT_LE(table.Expect(endless, "small").value, 1e8);
+  EXPECT_LE(table.ExpectedRunTime(endless, "small").value, 1e8);
 }
 
 TEST(PlacementTest, TakesTheSmallestWithSlackElseTheSoonest) {
--- a/tests/seed_run.cc
+++ b/tests/seed_run.cc
@@ -103,9 +103,9 @@
   if (!cluster_.store.outage && draw_.Chance(0.06)) {
     NoteFault("late writes");
     cluster_.store.next_commit =
-        draw_.Chance(0.6) ? FakeStore::Fault::kLandLater : FakeStore::Fault::kLoseAnswer;
+        draw_.Chance(0.6) ? FakeStore::Fault::kCommitLate : FakeStore::Fault::kLoseResponse;
     cluster_.ScheduleAfter(draw_.Time(2, 12), [this] {
-      if (cluster_.store.holds_back()) cluster_.store.Deliver();
+      if (cluster_.store.has_delayed_transactions()) cluster_.store.DeliverDelayed();
     });
   }
   for (Machine& machine : cluster_.machines) EndSomeTasks(machine);
@@ -143,7 +143,7 @@
       if (!draw_.Chance(task_failure_rate_)) continue;
       const ExitReason reason = draw_.Chance(0.5) ? ExitReason::kError : ExitReason::kStopped;
       cluster_.ScheduleAfter(draw_.Time(0, 1), [=, this, &machine] {
-        if (machine.removed || !machine.worker.Has(status.task)) return;
+        if (machine.removed || !machine.worker.HasLiveTask(status.task)) return;
         machine.worker.End(status.task, reason);
         cluster_.OnWorkerChanged(machine);
       });
@@ -152,7 +152,7 @@
 }
 
 void SeedRun::CompleteTask(Machine& machine, const TaskId& task) {
-  if (machine.removed || !machine.worker.Has(task)) return;
+  if (machine.removed || !machine.worker.HasLiveTask(task)) return;
   machine.worker.End(task, ExitReason::kDone);
   cluster_.completed.insert(task);
   cluster_.OnWorkerChanged(machine);
--- a/tests/seed_run_faults.cc
+++ b/tests/seed_run_faults.cc
@@ -10,14 +10,14 @@
 InjectedFault SeedRun::DrawStoreFault(const std::string& label, bool write) {
   InjectedFault fate;
   if (draw_.Chance(slow_call_rate_)) {
-    fate.before = draw_.Time(0, 1);
-    fate.after = draw_.Time(0, 1);
-    fate.lost = fate.before.value + fate.after.value > 1.5;
+    fate.request_delay = draw_.Time(0, 1);
+    fate.response_delay = draw_.Time(0, 1);
+    fate.response_lost = fate.request_delay.value + fate.response_delay.value > 1.5;
   } else if (draw_.Chance(0.1)) {
-    (draw_.Chance(0.5) ? fate.before : fate.after) = draw_.Time(0, 0.1);
+    (draw_.Chance(0.5) ? fate.request_delay : fate.response_delay) = draw_.Time(0, 0.1);
   }
   if (write && draw_.Chance(lost_answer_rate_)) {
-    fate.lost = true;
+    fate.response_lost = true;
     if (draw_.Chance(0.15)) Refuse(draw_.Time(0, 1), draw_.Time(5, 20), label);
   }
   return fate;
@@ -208,7 +208,7 @@
 void SeedRun::GivePreemptionNotice(Seconds from, Machine& machine) {
   NoteFault("notice");
   InjectAfter(from, machine.worker.id().value + " gets its notice", [this, &machine] {
-    machine.worker.Notice({25});
+    machine.worker.SetPreemptionNotice({25});
     cluster_.OnWorkerChanged(machine);
   });
   if (draw_.Chance(0.5))
@@ -216,7 +216,7 @@
   else
     InjectAfter(from + draw_.Time(2, 20), machine.worker.id().value + " may stay",
                 [this, &machine] {
-                  machine.worker.NoNotice();
+                  machine.worker.ClearPreemptionNotice();
                   cluster_.OnWorkerChanged(machine);
                 });
 }
--- a/tests/simulated_cluster.cc
+++ b/tests/simulated_cluster.cc
@@ -88,7 +88,7 @@
   ExpireLeases();
   while (!late_writes.empty() && late_writes.front() <= now) {
     late_writes.pop_front();
-    if (store.holds_back()) store.Deliver();
+    if (store.has_delayed_transactions()) store.DeliverDelayed();
   }
   for (const std::string& label : labels)
     if (IsUp(label)) controllers.at(label)->Step();
--- a/tests/simulated_cluster_workers.cc
+++ b/tests/simulated_cluster_workers.cc
@@ -88,8 +88,8 @@
 
 void SimulatedCluster::RunWorker(Machine& machine) {
   if (now - machine.lease_renewed > kTestLease) {
-    if (machine.worker.Live() > 0) ++machine.leases_lost;
-    machine.worker.LeaseEnds();
+    if (machine.worker.LiveTaskCount() > 0) ++machine.leases_lost;
+    machine.worker.ExpireLease();
     ++machine.generation;
     machine.lease_renewed = now;
     machine.awaiting_response = false;
@@ -149,8 +149,8 @@
 void SimulatedCluster::StepWorker(Machine& machine) {
   if (machine.removed) return;
   if (now - machine.lease_renewed > kTestLease) {
-    if (machine.worker.Live() > 0) ++machine.leases_lost;
-    machine.worker.LeaseEnds();
+    if (machine.worker.LiveTaskCount() > 0) ++machine.leases_lost;
+    machine.worker.ExpireLease();
     machine.lease_renewed = now;
     machine.in_flight_heartbeat.reset();
   }
@@ -202,7 +202,7 @@
     HeartbeatResponse reply;
     reply.token = {answer.at("crest").get<std::uint64_t>()};
     reply.commands = protocol::CommandsFromJson(answer.at("calls"));
-    if (machine.worker.Take(reply)) machine.lease_renewed = sent;
+    if (machine.worker.Deliver(reply)) machine.lease_renewed = sent;
     if (!reply.commands.empty()) OnWorkerChanged(machine);
     CheckInvariants();
     return;
--- a/tests/simulated_controller.cc
+++ b/tests/simulated_controller.cc
@@ -28,7 +28,7 @@
   o.headroom = 0;
   o.heartbeat_interval = kTestHeartbeatInterval;
   o.lease = kTestLease;
-  o.cancel = kTestCancelDeadline;
+  o.cancel_deadline = kTestCancelDeadline;
   return o;
 }
 
@@ -46,15 +46,16 @@
           [&cluster] {
             Scheduler::Options o = SimulatedSchedulerOptions();
             o.max_page_bytes = cluster.page_bytes;
-            o.cancel = cluster.cancel_deadline;
+            o.cancel_deadline = cluster.cancel_deadline;
             o.writes_per_s = cluster.writes_per_s;
             return o;
           }(),
           {}),
       api(store, SimulatedSchedulerOptions().teams, {"a", "b"}, Seconds{0}, {},
           {[] { return SimulatedMachineTypes(); },
-           [this](const JobId& id) { return core.Counts(id); }, [&cluster] { return cluster.wall; },
-           [this](Seconds) { Pause(); }, [&cluster] { return cluster.now; },
+           [this](const JobId& id) { return core.GetJobProgress(id); },
+           [&cluster] { return cluster.wall; }, [this](Seconds) { Pause(); },
+           [&cluster] { return cluster.now; },
            [this](const JobId& id, Revision revision) {
              const bool all = broadcaster.Broadcast(id, revision);
              return all || cluster_.broken_broadcast == BrokenBroadcast::kAsksNoPeer;
@@ -62,7 +63,7 @@
       cancellations(api.cache(),
                     [this](const JobCache::Cancellation& c) {
                       std::lock_guard lock(mutex);
-                      if (core.leading()) core.Cancelled(c.job, c.revision);
+                      if (core.leading()) core.OnCancelled(c.job, c.revision);
                     }),
       broadcaster({PeersToAsk(cluster, label), !CancellationBroadcaster::AllowsEarlyAcknowledgement(
                                                    kTestLease, cluster.cancel_deadline)},
@@ -229,14 +230,14 @@
 bool SimulatedController::ReadRecords(const records::Leadership& ours) {
   watched_revision_ = {};
   if (cluster_.on_leader_loading) cluster_.on_leader_loading();
-  for (const char* prefix : {records::kJobs, records::kBlocks, records::kPages}) {
+  for (const char* prefix : {records::kJobPrefix, records::kBlockPrefix, records::kPagePrefix}) {
     const RangeResult range = store.Range(prefix, "", 100000);
     if (range.status != StoreStatus::kOk || leadership_ != ours) return false;
     if (watched_revision_.value == 0) watched_revision_ = range.revision;
     for (const StoreEntry& e : range.entries) {
-      if (prefix == records::kJobs) {
+      if (prefix == records::kJobPrefix) {
         const auto record = records::JobFromJson(e.value);
-        core.LoadJob(record.spec, record.over(), e.revision);
+        core.LoadJob(record.spec, record.must_stop(), e.revision);
       } else {
         const RecordPageKey key = *records::ParseRecordPageKey(e.key);
         core.LoadRecordPage(key, records::RecordPageFromJson(key, e.value), e.revision);
@@ -252,7 +253,7 @@
 
 void SimulatedController::WatchJobs() {
   const auto ours = leadership_;
-  const WatchResult watch = store.Watch(records::kJobs, watched_revision_, {});
+  const WatchResult watch = store.Watch(records::kJobPrefix, watched_revision_, {});
   if (watch.status != StoreStatus::kOk || leadership_ != ours) return;
   watched_revision_ = watch.revision;
   for (const WatchEvent& e : watch.events) {
@@ -261,7 +262,7 @@
       continue;
     }
     const auto record = records::JobFromJson(*e.value);
-    core.LoadJob(record.spec, record.over(), e.revision);
+    core.LoadJob(record.spec, record.must_stop(), e.revision);
   }
 }
 
@@ -284,7 +285,7 @@
       core.OnWriteCommitted(plan, outcome.revision, cluster_.now);
     } else if (outcome.status == WriteOutcome::Status::kRejected) {
       for (const auto& job : outcome.reloaded)
-        core.LoadJob(job.record.spec, job.record.over(), job.revision);
+        core.LoadJob(job.record.spec, job.record.must_stop(), job.revision);
       core.OnWriteRejected(plan);
     }
   }
@@ -372,9 +373,10 @@
       core.OnReleased(*call, cluster_.now);
     } else if (cluster_.grants_rentals && cluster_.MachineCount() < kMaxTestMachines) {
       std::vector<MachineId> rented;
-      for (std::uint32_t k = 0; k < call->order.count; ++k)
-        rented.push_back(cluster_.AddRentedMachine(call->order.name + "-" + std::to_string(k),
-                                                   call->order.kind.zone, call->order.kind.spot));
+      for (std::uint32_t k = 0; k < call->scale_out.count; ++k)
+        rented.push_back(cluster_.AddRentedMachine(call->scale_out.name + "-" + std::to_string(k),
+                                                   call->scale_out.kind.zone,
+                                                   call->scale_out.kind.spot));
       core.OnProvisioned(*call, rented, cluster_.now);
     } else {
       core.OnProvisioningRefused(*call, cluster_.now);
--- a/tests/simulated_worker_test.cc
+++ b/tests/simulated_worker_test.cc
@@ -38,21 +38,23 @@
  protected:
   SimulatedWorkerTest() {
     JobSpec spec = testing::MakeJob("j-1", 4);
-    spec.save = {2};
-    spec.checkpoint = {5};
+    spec.save_duration = {2};
+    spec.checkpoint_interval = {5};
     ledger.Add({spec, kRunTime, 0});
   }
   static SimulatedWorker::Options DefaultOptions() {
     SimulatedWorker::Options options;
     options.agent.machine = {"m-1"};
-    options.agent.room = {8, 0, 64};
+    options.agent.capacity = {8, 0, 64};
     options.agent.cache_gb = 10;
     options.agent.lease = kLease;
     options.agent.nodes = {"n0"};
     options.fetch_gb_per_s = 0.5;  // the image of 1 GB takes 2 s
     return options;
   }
-  void Direct(std::vector<Command> commands) { worker.OnDirect(FencingToken{1}, 1, commands, now); }
+  void Direct(std::vector<Command> commands) {
+    worker.OnDirectCommand(FencingToken{1}, 1, commands, now);
+  }
   static Command Run(std::uint32_t index) { return {CommandKind::kRun, {{"j-1"}, index}, {1}, {}}; }
   static Command Stop(std::uint32_t index, Seconds termination_grace_period) {
     return {CommandKind::kStop, {{"j-1"}, index}, {1}, termination_grace_period};
@@ -103,7 +105,7 @@
   JobSpec spec = testing::MakeJob("j-2", 1);
   ledger.Add({spec, {1000}, 0});
   Until(1);
-  worker.OnDirect(FencingToken{1}, 1, {{CommandKind::kRun, {{"j-2"}, 0}, {1}, {}}}, now);
+  worker.OnDirectCommand(FencingToken{1}, 1, {{CommandKind::kRun, {{"j-2"}, 0}, {1}, {}}}, now);
   Until(5);
   log.Take();
   answers = false;
--- a/tests/stale_heartbeat_test.cc
+++ b/tests/stale_heartbeat_test.cc
@@ -10,7 +10,7 @@
  protected:
   // n0 leads with one worker that can't run anything yet.
   void Begin() {
-    before = &AddNode("n0");
+    before = &AddController("n0");
     w = &AddWorker("m-1", "large");
     ASSERT_TRUE(before->TakeOver(now));
     Heartbeat(*before, *w);
@@ -18,11 +18,11 @@
   }
   void NextLeads() {
     store.ExpireLeases();
-    after = &AddNode("n1");
+    after = &AddController("n1");
     ASSERT_TRUE(after->TakeOver(now));
   }
-  Node* before = nullptr;
-  Node* after = nullptr;
+  TestController* before = nullptr;
+  TestController* after = nullptr;
   FakeWorker* w = nullptr;
 };
 
@@ -33,7 +33,7 @@
 TEST_F(StaleHeartbeatTest, LaterEpochDoesNotFenceAnEarlierLeadersCommands) {
   Begin();
   const magpie::Heartbeat of_session_1 = w->Snapshot();
-  w->LeaseEnds();
+  w->ExpireLease();
   Heartbeat(*before, *w);
   Run(*before, MakeJob("j-1"));
   before->core.Tick(now, wall);
@@ -44,19 +44,19 @@
   NextLeads();
   AddWorker("m-2", "large");
   after->core.OnHeartbeat(of_session_1, now);
-  w->Notice({60});                              // so that the task would go elsewhere
+  w->SetPreemptionNotice({60});                 // so that the task would go elsewhere
   after->core.OnHeartbeat(w->Snapshot(), now);  // its answer is lost
   for (int i = 0; i < 4; ++i) {
     after->core.Tick(now, wall);
     while (after->WriteOnce(now)) {
     }
     Heartbeat(*after, workers_.back());
-    Pass(0.3);
+    AdvanceTime(0.3);
   }
   EXPECT_TRUE(w->Take(*held)) << "it has not heard of a later token";
-  EXPECT_EQ(LiveEverywhere(), 1U) << "it was started elsewhere as well";
+  EXPECT_EQ(CountLiveTasks(), 1U) << "it was started elsewhere as well";
   Settle(*after);
-  EXPECT_EQ(LiveEverywhere(), 1U);
+  EXPECT_EQ(CountLiveTasks(), 1U);
 }
 
 // An attempt ended and was forgotten, its leader ended before that was durable, and the
@@ -66,19 +66,19 @@
   Begin();
   Run(*before, MakeJob("j-1"));
   Settle(*before);
-  ASSERT_EQ(w->Live(), 1U);
+  ASSERT_EQ(w->LiveTaskCount(), 1U);
   w->End({{"j-1"}, 0}, ExitReason::kStopped);
   magpie::Heartbeat of_the_end = w->Snapshot();
   of_the_end.preemption_notice = Seconds{60};  // so that the task would go elsewhere
   // It is unbound in the leader's memory, and told to be forgotten.
-  w->Take(before->core.OnHeartbeat(w->Snapshot(), now));
+  w->Deliver(before->core.OnHeartbeat(w->Snapshot(), now));
   Heartbeat(*before, *w);
-  ASSERT_EQ(w->Listed(), 0U);
+  ASSERT_EQ(w->ReportedTaskCount(), 0U);
   NextLeads();
   Settle(*after);
-  ASSERT_EQ(w->Live(), 1U) << "the same attempt once more";
+  ASSERT_EQ(w->LiveTaskCount(), 1U) << "the same attempt once more";
   store.ExpireLeases();
-  Node& third = AddNode("n2");
+  TestController& third = AddController("n2");
   ASSERT_TRUE(third.TakeOver(now));
   AddWorker("m-2", "large");
   third.core.OnHeartbeat(of_the_end, now);
@@ -87,17 +87,17 @@
     while (third.WriteOnce(now)) {
     }
     Heartbeat(third, workers_.back());
-    Pass(3);
+    AdvanceTime(3);
   }
-  EXPECT_EQ(LiveEverywhere(), 1U);
+  EXPECT_EQ(CountLiveTasks(), 1U);
   // What ends in our term ends, and runs elsewhere or here.
   Settle(third);
   w->End({{"j-1"}, 0}, ExitReason::kError);
   for (int i = 0; i < 4; ++i) {
-    Pass(3);
+    AdvanceTime(3);
     Settle(third);
   }
-  EXPECT_EQ(LiveEverywhere(), 1U);
+  EXPECT_EQ(CountLiveTasks(), 1U);
 }
 
 }  // namespace
--- a/tests/stepped_fault_sweep.cc
+++ b/tests/stepped_fault_sweep.cc
@@ -320,7 +320,7 @@
 
   void HoldBackTheNextWrite(int second) {
     cluster_.store.next_commit =
-        draw_.Chance(0.6) ? FakeStore::Fault::kLandLater : FakeStore::Fault::kLoseAnswer;
+        draw_.Chance(0.6) ? FakeStore::Fault::kCommitLate : FakeStore::Fault::kLoseResponse;
     cluster_.late_writes.push_back(cluster_.now + Seconds{1.0 * draw_.Between(2, 12)});
     NoteFault("late writes");
     result_.fault_log += std::to_string(second) + " s: a write is late\n";
@@ -341,7 +341,7 @@
     for (Machine& machine : cluster_.machines)
       for (std::uint32_t i = 0; i < 3; ++i) {
         const TaskId task{{"j-4"}, i};
-        if (draw_.Chance(0.02) && machine.worker.Has(task) && !machine.removed) {
+        if (draw_.Chance(0.02) && machine.worker.HasLiveTask(task) && !machine.removed) {
           machine.worker.End(task, ExitReason::kDone);
           cluster_.completed.insert(task);
         }
--- a/tests/submission_batcher_test.cc
+++ b/tests/submission_batcher_test.cc
@@ -65,7 +65,7 @@
     });
   for (std::thread& t : threads) t.join();
   EXPECT_EQ(accepted, kThreads);
-  EXPECT_EQ(meeting.Range(records::kJobs, "", 100).entries.size(), std::size_t{kThreads});
+  EXPECT_EQ(meeting.Range(records::kJobPrefix, "", 100).entries.size(), std::size_t{kThreads});
   for (const std::size_t size : meeting.sizes) EXPECT_LE(size, 16U);
   EXPECT_LT(meeting.sizes.size(), std::size_t{kThreads}) << "some shared a transaction";
 }
@@ -73,7 +73,7 @@
 TEST_F(SubmissionBatcherTest, KnownJobIsNotAcceptedAgain) {
   SubmissionBatcher submissions(store, {}, Hooks());
   EXPECT_EQ(One(submissions, "j-1").status, SubmissionBatcher::Status::kAccepted);
-  EXPECT_EQ(One(submissions, "j-1").status, SubmissionBatcher::Status::kKnown);
+  EXPECT_EQ(One(submissions, "j-1").status, SubmissionBatcher::Status::kAlreadyExists);
   EXPECT_EQ(One(submissions, "j-2").status, SubmissionBatcher::Status::kAccepted);
 }
 
@@ -81,24 +81,24 @@
 TEST_F(SubmissionBatcherTest, FinishedJobIsKnown) {
   store.Commit({{}, {{records::FinalKey({"j-1"}), Json{{"mood", "done"}}, std::nullopt}}});
   SubmissionBatcher submissions(store, {}, Hooks());
-  EXPECT_EQ(One(submissions, "j-1").status, SubmissionBatcher::Status::kKnown);
+  EXPECT_EQ(One(submissions, "j-1").status, SubmissionBatcher::Status::kAlreadyExists);
 }
 
 TEST_F(SubmissionBatcherTest, WriteWhoseAnswerIsLostIsFoundToBeDurable) {
   SubmissionBatcher submissions(store, {}, Hooks());
-  store.next_commit = FakeStore::Fault::kLoseAnswer;
-  EXPECT_EQ(One(submissions, "j-1").status, SubmissionBatcher::Status::kKnown)
+  store.next_commit = FakeStore::Fault::kLoseResponse;
+  EXPECT_EQ(One(submissions, "j-1").status, SubmissionBatcher::Status::kAlreadyExists)
       << "the user is told its state";
-  EXPECT_EQ(store.Range(records::kJobs, "", 10).entries.size(), 1U);
+  EXPECT_EQ(store.Range(records::kJobPrefix, "", 10).entries.size(), 1U);
 }
 
 // It lands minutes later, after the job has been accepted by another try.
 TEST_F(SubmissionBatcherTest, LateTransactionChangesNothing) {
   SubmissionBatcher submissions(store, {}, Hooks());
-  store.next_commit = FakeStore::Fault::kLandLater;
+  store.next_commit = FakeStore::Fault::kCommitLate;
   EXPECT_EQ(One(submissions, "j-1").status, SubmissionBatcher::Status::kAccepted);
   const Revision before = store.Get(records::JobKey({"j-1"})).entry->revision;
-  store.Deliver();
+  store.DeliverDelayed();
   EXPECT_EQ(store.Get(records::JobKey({"j-1"})).entry->revision, before);
 }
 
@@ -116,7 +116,7 @@
 }
 
 TEST_F(SubmissionBatcherTest, OverloadIsRefusedAtOnceWithARetryTime) {
-  SubmissionBatcher submissions(store, {.pace = {.maximum = 10, .initial = 0.2}}, Hooks());
+  SubmissionBatcher submissions(store, {.rate_limit = {.maximum = 10, .initial = 0.2}}, Hooks());
   EXPECT_EQ(One(submissions, "j-1").status, SubmissionBatcher::Status::kAccepted);
   EXPECT_EQ(One(submissions, "j-2").status, SubmissionBatcher::Status::kAccepted);
   for (int i = 0; i < 5; ++i) submissions.Charge();  // cancellations go first
--- a/tests/takeover_test.cc
+++ b/tests/takeover_test.cc
@@ -10,12 +10,12 @@
 
 TEST_F(TakeoverTest, AcceptedJobSurvivesAllControllers) {
   {
-    Node& first = AddNode("n0");
+    TestController& first = AddController("n0");
     ASSERT_EQ(Submit(first, MakeJob("j-1", 2)), 201);
   }
-  nodes_.clear();
+  controllers_.clear();
   store.ExpireLeases();
-  Node& next = AddNode("n1");
+  TestController& next = AddController("n1");
   AddWorker("m-1");
   ASSERT_TRUE(next.TakeOver(now));
   Settle(next);
@@ -23,18 +23,19 @@
   workers_.front().EndAll(ExitReason::kDone);
   Settle(next);
   EXPECT_EQ(next.State("j-1"), "done");
-  EXPECT_EQ(workers_.front().Listed(), 0U) << "ends are forgotten once they are recorded";
+  EXPECT_EQ(workers_.front().ReportedTaskCount(), 0U)
+      << "ends are forgotten once they are recorded";
 }
 
 TEST_F(TakeoverTest, RunningTasksAreFoundAgain) {
-  Node& first = AddNode("n0");
+  TestController& first = AddController("n0");
   AddWorker("m-1");
   ASSERT_TRUE(first.TakeOver(now));
   Run(first, MakeJob("j-1", 2));
   Settle(first);
-  ASSERT_EQ(LiveEverywhere(), 2U);
+  ASSERT_EQ(CountLiveTasks(), 2U);
   store.ExpireLeases();
-  Node& next = AddNode("n1");
+  TestController& next = AddController("n1");
   ASSERT_TRUE(next.TakeOver(now));
   Settle(next);
   EXPECT_EQ(workers_.front().starts[TaskOf("j-1", 0)], 1);
@@ -45,7 +46,7 @@
 }
 
 TEST_F(TakeoverTest, DeposedLeaderCanNeitherWriteNorCommand) {
-  Node& old = AddNode("n0");
+  TestController& old = AddController("n0");
   FakeWorker& w = AddWorker("m-1");
   ASSERT_TRUE(old.TakeOver(now));
   Heartbeat(old, w);
@@ -55,7 +56,7 @@
   ASSERT_EQ(plan.puts.size(), 1U);
 
   store.ExpireLeases();
-  Node& next = AddNode("n1");
+  TestController& next = AddController("n1");
   ASSERT_TRUE(next.TakeOver(now));
   EXPECT_TRUE(old.Finish(plan, now).deposed);
 
@@ -68,22 +69,22 @@
 // Found by a seed of the sweep that did not end: while one command was open another was wanted,
 // and a worker that refused, since it had seen a later leader's token, was asked for ever.
 TEST_F(TakeoverTest, WorkerThatRefusesIsNotRetriedWithoutABackoff) {
-  Node& old = AddNode("n0");
+  TestController& old = AddController("n0");
   FakeWorker& w = AddWorker("m-1");
   ASSERT_TRUE(old.TakeOver(now));
   Heartbeat(old, w);
   Run(old, MakeJob("j-1"));
   Run(old, MakeJob("j-2"));
   Settle(old);
-  ASSERT_EQ(w.Live(), 2U);
-  old.core.Cancelled({"j-1"}, Revision{store.Get("j/j-1").entry->revision.value + 1});
+  ASSERT_EQ(w.LiveTaskCount(), 2U);
+  old.core.OnCancelled({"j-1"}, Revision{store.Get("j/j-1").entry->revision.value + 1});
   const auto open = old.core.NextDirectCommand(now);
   ASSERT_TRUE(open && !open->commands.empty());
   store.ExpireLeases();
-  Node& next = AddNode("n1");
+  TestController& next = AddController("n1");
   ASSERT_TRUE(next.TakeOver(now));
   Heartbeat(next, w);  // the worker learns the new token
-  old.core.Cancelled({"j-2"}, Revision{store.Get("j/j-2").entry->revision.value + 1});
+  old.core.OnCancelled({"j-2"}, Revision{store.Get("j/j-2").entry->revision.value + 1});
   EXPECT_FALSE(old.core.NextDirectCommand(now)) << "one command at a time";
   EXPECT_FALSE(w.Take(*open));
   old.core.OnDirectCommandResult(*open, DeliveryStatus::kAnswered, w.Snapshot(), now);
@@ -99,17 +100,17 @@
 // worker that had stopped reporting to it, took over the later token from the
 // answer, and started tasks beside the new leader's.
 TEST_F(TakeoverTest, DeposedLeaderDoesNotAdoptALaterToken) {
-  Node& old = AddNode("n0");
+  TestController& old = AddController("n0");
   FakeWorker& w = AddWorker("m-1");
   ASSERT_TRUE(old.TakeOver(now));
   Heartbeat(old, w);
   store.ExpireLeases();
-  Node& next = AddNode("n1");
+  TestController& next = AddController("n1");
   ASSERT_TRUE(next.TakeOver(now));
   Heartbeat(next, w);
-  Pass(6);
+  AdvanceTime(6);
   for (int i = 0; i < 2; ++i) {
-    Pass(3);
+    AdvanceTime(3);
     const auto probe = old.core.NextProbe(now);
     ASSERT_TRUE(probe.has_value());
     EXPECT_LT(probe->token, w.token());
@@ -119,13 +120,13 @@
 }
 
 TEST_F(TakeoverTest, NewLeaderProbesWorkersOfTheFormerLeader) {
-  Node& old = AddNode("n0");
+  TestController& old = AddController("n0");
   FakeWorker& w = AddWorker("m-1");
   ASSERT_TRUE(old.TakeOver(now));
   Heartbeat(old, w);
-  w.LeaseEnds();  // so that the new leader can't guess the session
+  w.ExpireLease();  // so that the new leader can't guess the session
   store.ExpireLeases();
-  Node& next = AddNode("n1");
+  TestController& next = AddController("n1");
   ASSERT_TRUE(next.TakeOver(now));
   listed = {{w.id(), "x", "small", "a", false, ListedMachine::State::kRunning, {50}}};
   RunCloud(next);
@@ -140,7 +141,7 @@
 }
 
 TEST_F(TakeoverTest, LateRunOfTheFormerLeaderDoesNothing) {
-  Node& old = AddNode("n0");
+  TestController& old = AddController("n0");
   FakeWorker& w = AddWorker("m-1");
   ASSERT_TRUE(old.TakeOver(now));
   Heartbeat(old, w);
@@ -151,19 +152,19 @@
   ASSERT_TRUE(direct_command.has_value());  // and the network holds it back
 
   store.ExpireLeases();
-  Node& next = AddNode("n1");
+  TestController& next = AddController("n1");
   ASSERT_TRUE(next.TakeOver(now));
   Settle(next);
   ASSERT_EQ(w.starts[TaskOf("j-1")], 1);
   w.EndAll(ExitReason::kDone);
   Settle(next);
-  EXPECT_EQ(w.Listed(), 0U);
+  EXPECT_EQ(w.ReportedTaskCount(), 0U);
   EXPECT_FALSE(w.Take(*direct_command));
-  EXPECT_EQ(w.Live(), 0U);
+  EXPECT_EQ(w.LiveTaskCount(), 0U);
 }
 
 TEST_F(TakeoverTest, UnansweredRunHoldsItsTaskUntilAHigherTokenIsSeen) {
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   FakeWorker& w = AddWorker("m-1");
   ASSERT_TRUE(node.TakeOver(now));
   Heartbeat(node, w);
@@ -180,14 +181,14 @@
   const HeartbeatResponse reply = node.core.OnHeartbeat(w.Snapshot(), now);
   EXPECT_GT(reply.token, direct_command->token);
   EXPECT_EQ(node.core.GetStatus().bound, 1U);
-  w.Take(reply);
+  w.Deliver(reply);
   EXPECT_FALSE(w.Take(*direct_command)) << "the raised token shuts it out";
   Heartbeat(node, w);
   EXPECT_EQ(node.core.GetStatus().bound, 0U);
 }
 
 TEST_F(TakeoverTest, HeartbeatThatCrossesAPendingCommandProvesNothing) {
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   FakeWorker& w = AddWorker("m-1");
   ASSERT_TRUE(node.TakeOver(now));
   Heartbeat(node, w);
@@ -200,53 +201,53 @@
   node.ReadJobs();
   const magpie::Heartbeat before = w.Snapshot();
   ASSERT_TRUE(w.Take(*direct_command));  // executed while the report is on its way
-  w.Take(node.core.OnHeartbeat(before, now));
+  w.Deliver(node.core.OnHeartbeat(before, now));
   EXPECT_EQ(node.core.GetStatus().bound, 1U);
   node.core.OnDirectCommandResult(*direct_command, DeliveryStatus::kAnswered, w.Snapshot(), now);
   Settle(node);
-  EXPECT_EQ(w.Live(), 0U);
+  EXPECT_EQ(w.LiveTaskCount(), 0U);
   EXPECT_EQ(node.State("j-1"), "withdrawn");
 }
 
 class LostWriteAnswerTest : public ClusterTest {};
 
 TEST_F(LostWriteAnswerTest, WriteWhoseAnswerIsLostCountsOnce) {
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   AddWorker("m-1");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
   Run(node, MakeJob("j-1", 2));
-  store.next_commit = FakeStore::Fault::kLoseAnswer;
+  store.next_commit = FakeStore::Fault::kLoseResponse;
   Settle(node);
-  EXPECT_EQ(LiveEverywhere(), 2U);
+  EXPECT_EQ(CountLiveTasks(), 2U);
   workers_.front().EndAll(ExitReason::kDone);
-  store.next_commit = FakeStore::Fault::kLoseAnswer;
+  store.next_commit = FakeStore::Fault::kLoseResponse;
   Settle(node);
   EXPECT_EQ(node.State("j-1"), "done");
 }
 
 TEST_F(LostWriteAnswerTest, TransactionThatCommitsLateChangesNothing) {
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   AddWorker("m-1");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
   Run(node, MakeJob("j-1"));
-  store.next_commit = FakeStore::Fault::kLandLater;
+  store.next_commit = FakeStore::Fault::kCommitLate;
   Settle(node);  // the repeated transaction is carried out at once
-  EXPECT_EQ(LiveEverywhere(), 1U);
-  EXPECT_FALSE(store.Deliver());
+  EXPECT_EQ(CountLiveTasks(), 1U);
+  EXPECT_FALSE(store.DeliverDelayed());
 }
 
 TEST_F(LostWriteAnswerTest, SubmissionThatCommitsLateIsOneJobOnly) {
-  Node& node = AddNode("n0");
-  store.next_commit = FakeStore::Fault::kLandLater;
+  TestController& node = AddController("n0");
+  store.next_commit = FakeStore::Fault::kCommitLate;
   EXPECT_EQ(Submit(node, MakeJob("j-1")), 201);
-  EXPECT_FALSE(store.Deliver());
+  EXPECT_FALSE(store.DeliverDelayed());
   EXPECT_EQ(Submit(node, MakeJob("j-1")), 200);
 }
 
 TEST_F(TakeoverTest, TeamLimitHolds) {
-  Node& first = AddNode("n0");
+  TestController& first = AddController("n0");
   AddWorker("m-1", "large");
   ASSERT_TRUE(first.TakeOver(now));
   Settle(first);
@@ -254,9 +255,9 @@
   job.team = "blue";  // at most 6 CPUs, so 3 tasks
   Run(first, job);
   Settle(first);
-  EXPECT_EQ(LiveEverywhere(), 3U);
+  EXPECT_EQ(CountLiveTasks(), 3U);
   store.ExpireLeases();
-  Node& next = AddNode("n1");
+  TestController& next = AddController("n1");
   AddWorker("m-2", "large");
   ASSERT_TRUE(next.TakeOver(now));
   Heartbeat(next, workers_.back());  // the one that holds the tasks says nothing yet
@@ -264,7 +265,7 @@
   while (next.WriteOnce(now)) {
   }
   Heartbeat(next, workers_.back());
-  EXPECT_EQ(LiveEverywhere(), 3U);
+  EXPECT_EQ(CountLiveTasks(), 3U);
 }
 
 }  // namespace
--- a/tests/team_guarantee_test.cc
+++ b/tests/team_guarantee_test.cc
@@ -13,7 +13,7 @@
 TEST_F(TeamGuaranteeTest, WorkWithinAGuaranteeStartsWhereItIsSoon) {
   Scheduler::Options options = DefaultOptions();
   options.objectives = {{"guarantee", "", {5}, 0.9, 1}};
-  Node& node = nodes_.emplace_back(store, "n0", options);
+  TestController& node = controllers_.emplace_back(store, "n0", options);
   FakeWorker& large = AddWorker("m-1", "large");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
@@ -32,10 +32,10 @@
     spec.deadline = Seconds{1000};
     Run(node, spec);
   }
-  Pass(2);
+  AdvanceTime(2);
   Settle(node);
-  EXPECT_TRUE(large.Has(TaskOf("j-2"))) << "of the team with a guarantee";
-  EXPECT_TRUE(small.Has(TaskOf("j-3"))) << "the other may wait for the image";
+  EXPECT_TRUE(large.HasLiveTask(TaskOf("j-2"))) << "of the team with a guarantee";
+  EXPECT_TRUE(small.HasLiveTask(TaskOf("j-3"))) << "the other may wait for the image";
 }
 
 // A large array that does not fit into its team's guarantee took the room before
@@ -44,7 +44,7 @@
   Scheduler::Options options = DefaultOptions();
   options.teams = {{"blue", 8, 0, 0, 0}, {"green", 8, 0, 0, 0}};
   options.objectives = {{"guarantee", "", {5}, 0.9, 1}};
-  Node& node = nodes_.emplace_back(store, "n0", options);
+  TestController& node = controllers_.emplace_back(store, "n0", options);
   FakeWorker& small = AddWorker("m-1");  // of 4 CPUs: two tasks
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
@@ -57,8 +57,8 @@
   Run(node, large);
   Run(node, fits);
   Settle(node);
-  EXPECT_TRUE(small.Has(TaskOf("j-2", 0)));
-  EXPECT_TRUE(small.Has(TaskOf("j-2", 1)));
+  EXPECT_TRUE(small.HasLiveTask(TaskOf("j-2", 0)));
+  EXPECT_TRUE(small.HasLiveTask(TaskOf("j-2", 1)));
 }
 
 // What counts are the team's earlier jobs, whatever order they are loaded in: a
@@ -95,7 +95,7 @@
   Scheduler::Options options = DefaultOptions();
   options.teams = {{"blue", 4, 0, 0, 0}, {"green", 4, 0, 0, 0}};
   options.objectives = {{"guarantee", "", {5}, 0.9, 1}};
-  Node& node = nodes_.emplace_back(store, "n0", options);
+  TestController& node = controllers_.emplace_back(store, "n0", options);
   FakeWorker& small = AddWorker("m-1");  // for two tasks
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
@@ -111,7 +111,7 @@
     const std::string other = "j-" + std::to_string(10 * round + 2);
     Run(node, job(first.c_str(), "blue", 1000, 2));
     Settle(node);
-    ASSERT_TRUE(small.Has(TaskOf(first)));
+    ASSERT_TRUE(small.HasLiveTask(TaskOf(first)));
     if (round == 0)
       small.EndAll(ExitReason::kDone);
     else
@@ -121,7 +121,7 @@
     Run(node, job(other.c_str(), "green", 40, 5));
     Run(node, job(second.c_str(), "blue", 1000, 2));
     Settle(node);
-    EXPECT_TRUE(small.Has(TaskOf(second))) << "round " << round;
+    EXPECT_TRUE(small.HasLiveTask(TaskOf(second))) << "round " << round;
     for (int i = 0; i < 4; ++i) {
       small.EndAll(ExitReason::kDone);
       Settle(node);
@@ -134,7 +134,7 @@
 TEST_F(TeamGuaranteeTest, NothingIsRentedForAGuaranteeThatNoBootCanMeet) {
   Scheduler::Options options = DefaultOptions();
   options.objectives = {{"guarantee", "", {5}, 0.9, 1}, {"wait", "sums", {250}, 0.9, 1}};
-  Node& node = nodes_.emplace_back(store, "n0", options);
+  TestController& node = controllers_.emplace_back(store, "n0", options);
   AddWorker("m-1");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
@@ -142,11 +142,11 @@
   JobSpec first = MakeJob("j-1", 2);
   Run(node, first);
   Settle(node);
-  ASSERT_EQ(LiveEverywhere(), 2U) << "no room for more for 30 s";
+  ASSERT_EQ(CountLiveTasks(), 2U) << "no room for more for 30 s";
   JobSpec spec = MakeJob("j-2");
   spec.team = "blue";
   Run(node, spec);
-  Pass(2);
+  AdvanceTime(2);
   Settle(node);
   for (const CloudCall& call : RunCloud(node)) EXPECT_NE(call.kind, CloudCall::Kind::kProvision);
 }
--- a/tests/test_cluster.h
+++ b/tests/test_cluster.h
@@ -24,7 +24,7 @@
           {"large", {16, 0, 64}, 60, 1, 1.0, 0.4, {20}, {"a", "b"}}};
 }
 
-inline std::set<MachineId> Released(const std::vector<CloudCall>& calls) {
+inline std::set<MachineId> ReleasedMachines(const std::vector<CloudCall>& calls) {
   std::set<MachineId> all;
   for (const CloudCall& call : calls) all.insert(call.release.begin(), call.release.end());
   return all;
@@ -34,16 +34,16 @@
 
 inline std::string ToBody(const JobSpec& spec) { return protocol::JobToRecord(spec).dump(); }
 
-class Node {
+class TestController {
  public:
-  Node(FakeStore& store, const std::string& label, Scheduler::Options options,
-       const std::string& run = "run")
+  TestController(FakeStore& store, const std::string& label, Scheduler::Options options,
+                 const std::string& run = "run")
       : store_(store),
         label_(label),
         election(store, label, label + "-" + run, {4}),
         core(options, {}),
         api(store, options.teams, {"a", "b"}, Seconds{0}, {},
-            {[] { return Types(); }, [this](const JobId& id) { return core.Counts(id); },
+            {[] { return Types(); }, [this](const JobId& id) { return core.GetJobProgress(id); },
              [] { return WallTime{1000}; }, [](Seconds) {}, [] { return Instant{1}; },
              [this](const JobId&, Revision) { return all_know; }}),
         writer_(store,
@@ -58,7 +58,7 @@
     leadership = *view.leadership;
     core.Start(leadership.epoch, label_ + "-" + std::to_string(leadership.epoch.value) + "-", now);
     ReadJobs();
-    for (const char* prefix : {records::kBlocks, records::kPages})
+    for (const char* prefix : {records::kBlockPrefix, records::kPagePrefix})
       for (const StoreEntry& e : store_.Range(prefix, "", 100000).entries) {
         const RecordPageKey key = *records::ParseRecordPageKey(e.key);
         core.LoadRecordPage(key, records::RecordPageFromJson(key, e.value), e.revision);
@@ -69,9 +69,9 @@
 
   // What the watch on the jobs brings.
   void ReadJobs() {
-    for (const StoreEntry& e : store_.Range(records::kJobs, "", 100000).entries) {
+    for (const StoreEntry& e : store_.Range(records::kJobPrefix, "", 100000).entries) {
       const auto record = records::JobFromJson(e.value);
-      core.LoadJob(record.spec, record.over(), e.revision);
+      core.LoadJob(record.spec, record.must_stop(), e.revision);
     }
   }
 
@@ -91,7 +91,7 @@
       core.Stop();
     } else if (outcome.status == WriteOutcome::Status::kRejected) {
       for (const auto& job : outcome.reloaded)
-        core.LoadJob(job.record.spec, job.record.over(), job.revision);
+        core.LoadJob(job.record.spec, job.record.must_stop(), job.revision);
       core.OnWriteRejected(plan);
     }
     return outcome;
@@ -127,13 +127,14 @@
     return o;
   }
 
-  Node& AddNode(const std::string& label) {
-    return nodes_.emplace_back(store, label, DefaultOptions());
+  TestController& AddController(const std::string& label) {
+    return controllers_.emplace_back(store, label, DefaultOptions());
   }
 
   // A controller that ended is there again, under its label and with nothing it knew.
-  Node& Again(const std::string& label) {
-    return nodes_.emplace_back(store, label, DefaultOptions(), "run" + std::to_string(++runs_));
+  TestController& Again(const std::string& label) {
+    return controllers_.emplace_back(store, label, DefaultOptions(),
+                                     "run" + std::to_string(++runs_));
   }
 
   FakeWorker& AddWorker(const std::string& name, const std::string& type = "small",
@@ -142,12 +143,12 @@
   }
 
   // One report of the worker to the node, and its response.
-  void Heartbeat(Node& node, FakeWorker& worker) {
-    worker.Take(node.core.OnHeartbeat(worker.Snapshot(), now));
+  void Heartbeat(TestController& node, FakeWorker& worker) {
+    worker.Deliver(node.core.OnHeartbeat(worker.Snapshot(), now));
   }
 
   // Places, writes, pushes and reports until nothing changes any more.
-  void Settle(Node& node, int rounds = 4) {
+  void Settle(TestController& node, int rounds = 4) {
     for (int i = 0; i < rounds; ++i) {
       node.core.Tick(now, wall);
       while (node.WriteOnce(now)) {
@@ -161,18 +162,18 @@
           }
       }
       for (FakeWorker& w : workers_)
-        if (!silent_.contains(w.id())) Heartbeat(node, w);
+        if (!unresponsive_workers_.contains(w.id())) Heartbeat(node, w);
     }
   }
 
-  void Pass(double seconds) {
+  void AdvanceTime(double seconds) {
     now = now + Seconds{seconds};
     wall.value += seconds;
   }
 
   // Cloud calls until there are none due; lists come from `listed`, and
   // releases are carried out.
-  std::vector<CloudCall> RunCloud(Node& node) {
+  std::vector<CloudCall> RunCloud(TestController& node) {
     std::vector<CloudCall> calls;
     while (auto call = node.core.NextCloudCall(now)) {
       calls.push_back(*call);
@@ -183,27 +184,29 @@
     return calls;
   }
 
-  int Submit(Node& node, const JobSpec& spec) { return node.api.Submit(ToBody(spec)).status; }
+  int Submit(TestController& node, const JobSpec& spec) {
+    return node.api.Submit(ToBody(spec)).status;
+  }
 
   // Submits to the leader and lets it know.
-  void Run(Node& node, const JobSpec& spec) {
+  void Run(TestController& node, const JobSpec& spec) {
     ASSERT_EQ(Submit(node, spec), 201);
     node.ReadJobs();
   }
 
-  std::size_t LiveEverywhere() const {
+  std::size_t CountLiveTasks() const {
     std::size_t n = 0;
-    for (const FakeWorker& w : workers_) n += w.Live();
+    for (const FakeWorker& w : workers_) n += w.LiveTaskCount();
     return n;
   }
 
   FakeStore store;
   Instant now{100};
   WallTime wall{1000};
-  std::list<Node> nodes_;
+  std::list<TestController> controllers_;
   int runs_ = 0;
   std::list<FakeWorker> workers_;
-  std::set<MachineId> silent_;
+  std::set<MachineId> unresponsive_workers_;
   std::vector<ListedMachine> listed;
 };
 
--- a/tests/write_budget_test.cc
+++ b/tests/write_budget_test.cc
@@ -11,7 +11,7 @@
 // Found on days of too much load: a late job took the room, and made the next
 // one late as well.
 TEST_F(WriteBudgetTest, WorkThatCanMeetItsTargetGoesBeforeLateWork) {
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   FakeWorker& w = AddWorker("m-1");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
@@ -23,17 +23,17 @@
   Settle(node);
   Run(node, late);
   Run(node, in_time);
-  Pass(60);
+  AdvanceTime(60);
   Heartbeat(node, w);
   w.EndAll(ExitReason::kDone);
   Settle(node, 2);
-  ASSERT_EQ(w.Live(), 2U);
+  ASSERT_EQ(w.LiveTaskCount(), 2U);
   EXPECT_EQ(w.starts[TaskOf("j-2")], 1);
   EXPECT_EQ(w.starts[TaskOf("j-1")], 0);
 }
 
 TEST_F(WriteBudgetTest, CapacityIsFreeBeforeTheOutcomeIsDurable) {
-  Node& node = AddNode("n0");
+  TestController& node = AddController("n0");
   FakeWorker& w = AddWorker("m-1");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
@@ -45,7 +45,7 @@
   node.core.Tick(now, wall);
   EXPECT_EQ(node.core.GetStatus().bound, 4U) << "two that ended, two that follow";
   Settle(node);
-  EXPECT_EQ(w.Live(), 2U);
+  EXPECT_EQ(w.LiveTaskCount(), 2U);
   EXPECT_EQ(node.State("j-1"), "done");
 }
 
@@ -53,19 +53,19 @@
   Scheduler::Options options = DefaultOptions();
   options.writes_per_s = 4;
   options.max_operations = 4;
-  Node& node = nodes_.emplace_back(store, "n0", options);
+  TestController& node = controllers_.emplace_back(store, "n0", options);
   FakeWorker& w = AddWorker("m-1", "large");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
   for (int j = 1; j <= 3; ++j) Run(node, MakeJob("j-" + std::to_string(j), 2));
-  Pass(5);
+  AdvanceTime(5);
   Settle(node);
-  ASSERT_EQ(w.Live(), 6U);
-  Pass(0.1);
+  ASSERT_EQ(w.LiveTaskCount(), 6U);
+  AdvanceTime(0.1);
   for (int j = 1; j <= 3; ++j) w.End(TaskOf("j-" + std::to_string(j)), ExitReason::kDone);
   Heartbeat(node, w);
   Run(node, MakeJob("j-4", 1));
-  Pass(0.7);
+  AdvanceTime(0.7);
   node.core.Tick(now, wall);
   const WriteBatch plan = node.core.NextWriteBatch(now);
   ASSERT_FALSE(plan.puts.empty());
@@ -77,7 +77,7 @@
 TEST_F(WriteBudgetTest, LowPriorityBindingsShareScarceWrites) {
   Scheduler::Options options = DefaultOptions();
   options.writes_per_s = 20;
-  Node& node = nodes_.emplace_back(store, "n0", options);
+  TestController& node = controllers_.emplace_back(store, "n0", options);
   for (int i = 0; i < 4; ++i) AddWorker("m-" + std::to_string(i), "large");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
@@ -89,11 +89,11 @@
     node.core.Tick(now, wall);
     while (node.WriteOnce(now)) {
     }
-    Pass(0.05);
+    AdvanceTime(0.05);
   }
-  Pass(1);
+  AdvanceTime(1);
   Settle(node);
-  EXPECT_EQ(LiveEverywhere(), 20U);
+  EXPECT_EQ(CountLiveTasks(), 20U);
   EXPECT_LT(store.commits - before - 20, 12) << "besides the 20 submissions";
 }
 
@@ -103,7 +103,7 @@
   Scheduler::Options options = DefaultOptions();
   options.writes_per_s = 4;
   options.max_operations = 2;
-  Node& node = nodes_.emplace_back(store, "n0", options);
+  TestController& node = controllers_.emplace_back(store, "n0", options);
   AddWorker("m-1", "large");
   AddWorker("m-2", "large");
   ASSERT_TRUE(node.TakeOver(now));
@@ -114,7 +114,7 @@
   service.priority = Priority::kProduction;
   service.estimate = {};
   Run(node, service);
-  Pass(2);
+  AdvanceTime(2);
   node.core.Tick(now, wall);
   const WriteBatch plan = node.core.NextWriteBatch(now);
   ASSERT_EQ(plan.puts.size(), 1U);
