--- a/src/scheduling/candidate_index.cc
+++ b/src/scheduling/candidate_index.cc
@@ -6,16 +6,16 @@
 namespace magpie {
 namespace {
 
-// Planned machines are numbered by name, so neighbours were often provisioned together, in one
-// zone. Equal candidates are taken in a scattered order, so that the failure of a zone or of a spot
-// market does not hit all the work of one hour. Fibonacci hashing gives every index a number of its
-// own.
-std::uint32_t Scattered(std::uint32_t machine_index) {
+// Planned machines are numbered by name, so machines with adjacent indexes were often provisioned
+// together in one zone. Equal candidates are chosen in a scattered order, so that the failure of a
+// zone or a spot market does not hit all the work of one hour. Fibonacci hashing maps every index
+// to a distinct number.
+std::uint32_t ScatteredOrder(std::uint32_t machine_index) {
   constexpr std::uint32_t kFibonacciMultiplier = 2654435769U;
   return machine_index * kFibonacciMultiplier;
 }
 
-// The order of a heap whose top is the preferred candidate.
+// Heap order with the preferred candidate on top.
 bool IsLessPreferred(const CandidateIndex::Candidate& a, const CandidateIndex::Candidate& b) {
   return b < a;
 }
@@ -23,8 +23,8 @@
 }  // namespace
 
 bool CandidateIndex::Candidate::operator<(const Candidate& other) const {
-  const std::uint32_t order = Scattered(machine_index);
-  const std::uint32_t other_order = Scattered(other.machine_index);
+  const std::uint32_t order = ScatteredOrder(machine_index);
+  const std::uint32_t other_order = ScatteredOrder(other.machine_index);
   return std::tie(wait, free_cpus, order) < std::tie(other.wait, other.free_cpus, other_order);
 }
 
@@ -43,12 +43,13 @@
   return std::nullopt;
 }
 
-bool CandidateIndex::Serves(const Resources& per_task, std::uint32_t image, double image_gb) const {
+bool CandidateIndex::Matches(const Resources& per_task, std::uint32_t image,
+                             double image_gb) const {
   return image_ == image && image_gb_ == image_gb && per_task_.cpus == per_task.cpus &&
          per_task_.gpus == per_task.gpus && per_task_.memory_gb == per_task.memory_gb;
 }
 
-CandidateIndex::KindCandidates& CandidateIndex::OfKind(std::size_t kind) {
+CandidateIndex::KindCandidates& CandidateIndex::CandidatesOfKind(std::size_t kind) {
   if (kinds_.size() <= kind) kinds_.resize(kind + 1);
   return kinds_[kind];
 }
--- a/src/scheduling/candidate_selector.cc
+++ b/src/scheduling/candidate_selector.cc
@@ -19,34 +19,34 @@
 
 std::optional<CandidateSelector::Selection> CandidateSelector::Select() {
   ApplyChanges();
-  if (auto smallest = SmallestInTime()) return smallest;
-  return Soonest();
+  if (auto smallest = SmallestWithSlack()) return smallest;
+  return EarliestFinishing();
 }
 
-// Checks the kinds that are new to the plan. Kinds that the job may not use, or whose zone is full
-// for it, are left out as a whole.
+// Checks the kinds that were added to the plan since the last call. Kinds that the job must not
+// use, or whose zone is full for it, are skipped entirely.
 void CandidateSelector::AddAllowedKinds() {
-  for (; known_kinds_ < plan_.by_kind().size(); ++known_kinds_) {
-    const KindInfo& info = state_.kinds.all()[known_kinds_];
-    if (plan_.by_kind()[known_kinds_].empty() || !KindAllows(job_.spec, info) ||
+  for (; checked_kinds_ < plan_.by_kind().size(); ++checked_kinds_) {
+    const KindInfo& info = state_.kinds.all()[checked_kinds_];
+    if (plan_.by_kind()[checked_kinds_].empty() || !CanRunOnKind(job_.spec, info) ||
         !IsZoneAllowed(job_, info.kind.zone))
       continue;
-    kinds_.push_back({job_.spec.spot && !info.kind.spot, info.type->capacity.cpus, known_kinds_});
+    kinds_.push_back({job_.spec.spot && !info.kind.spot, info.type->capacity.cpus, checked_kinds_});
   }
   std::sort(kinds_.begin(), kinds_.end());
 }
 
-// Enters the machines that have changed since the index was last used.
+// Updates the index with the machines that changed since it was last used.
 void CandidateSelector::ApplyChanges() {
   const std::vector<std::size_t>& changes = plan_.changes();
   for (; index_.applied_changes < changes.size(); ++index_.applied_changes) {
     const std::size_t machine_index = changes[index_.applied_changes];
     CandidateIndex::KindCandidates& candidates =
-        index_.OfKind(plan_.machines()[machine_index].kind);
+        index_.CandidatesOfKind(plan_.machines()[machine_index].kind);
     if (candidates.available_now.filled) AddAvailableNow(candidates.available_now, machine_index);
     if (candidates.all.filled) AddAny(candidates.all, machine_index);
   }
-  if (known_kinds_ < plan_.by_kind().size()) AddAllowedKinds();
+  if (checked_kinds_ < plan_.by_kind().size()) AddAllowedKinds();
 }
 
 void CandidateSelector::FillAvailableNow(std::size_t kind, CandidateIndex::Heap& heap) {
@@ -93,8 +93,8 @@
           available_now,  candidate.wait,    state_.run_times.ExpectedOnKind(job_, kind.kind)};
 }
 
-// The zone may have become full since the kinds were checked; it stays full for the round.
-bool CandidateSelector::IsZoneOpen(const AllowedKind& kind) const {
+// The zone may have become full after the kinds were checked; it stays full for the round.
+bool CandidateSelector::IsZoneStillAllowed(const AllowedKind& kind) const {
   return IsZoneAllowed(job_, state_.kinds.all()[kind.kind].kind.zone);
 }
 
@@ -106,20 +106,20 @@
   return {candidate.machine_index, OptionOf(kind, candidate, available_now), start};
 }
 
-std::optional<CandidateSelector::Selection> CandidateSelector::SmallestInTime() {
+std::optional<CandidateSelector::Selection> CandidateSelector::SmallestWithSlack() {
   const AllowedKind* best_kind = nullptr;
   CandidateIndex::Candidate best;
   for (const AllowedKind& kind : kinds_) {
-    // Kinds are in order: all that follow are less preferred whatever their candidates.
+    // Kinds are sorted: all following kinds are less preferred, whatever their candidates.
     if (best_kind != nullptr && std::tie(best_kind->on_demand, best_kind->machine_cpus) <
                                     std::tie(kind.on_demand, kind.machine_cpus))
       break;
-    CandidateIndex::Heap& heap = index_.OfKind(kind.kind).available_now;
+    CandidateIndex::Heap& heap = index_.CandidatesOfKind(kind.kind).available_now;
     FillAvailableNow(kind.kind, heap);
     const auto top = heap.Best(plan_.versions());
     if (!top || (best_kind != nullptr && !(*top < best))) continue;
     const Seconds slack = Slack(target_, OptionOf(kind, *top, true), state_.options.weights);
-    if (slack.value < 0 || !IsZoneOpen(kind)) continue;
+    if (slack.value < 0 || !IsZoneStillAllowed(kind)) continue;
     best_kind = &kind;
     best = *top;
   }
@@ -127,24 +127,24 @@
   return SelectionOf(*best_kind, best);
 }
 
-std::optional<CandidateSelector::Selection> CandidateSelector::Soonest() {
+std::optional<CandidateSelector::Selection> CandidateSelector::EarliestFinishing() {
   const AllowedKind* best_kind = nullptr;
   CandidateIndex::Candidate best;
-  Seconds soonest;
+  Seconds earliest_end;
   for (const AllowedKind& kind : kinds_) {
-    CandidateIndex::Heap& heap = index_.OfKind(kind.kind).all;
+    CandidateIndex::Heap& heap = index_.CandidatesOfKind(kind.kind).all;
     FillAll(kind.kind, heap);
     const auto top = heap.Best(plan_.versions());
     if (!top) continue;
     const Seconds end = top->wait + state_.run_times.ExpectedOnKind(job_, kind.kind);
     if (best_kind != nullptr &&
-        std::tie(soonest, best_kind->on_demand, best_kind->machine_cpus, best.free_cpus) <=
+        std::tie(earliest_end, best_kind->on_demand, best_kind->machine_cpus, best.free_cpus) <=
             std::tie(end, kind.on_demand, kind.machine_cpus, top->free_cpus))
       continue;
-    if (!IsZoneOpen(kind)) continue;
+    if (!IsZoneStillAllowed(kind)) continue;
     best_kind = &kind;
     best = *top;
-    soonest = end;
+    earliest_end = end;
   }
   if (best_kind == nullptr) return std::nullopt;
   return SelectionOf(*best_kind, best);
--- a/src/scheduling/candidate_selector.h
+++ b/src/scheduling/candidate_selector.h
@@ -1,4 +1,4 @@
-// Selects the machine for each next task of one job, by the slack rule.
+// Selects the machine for each next task of one job by the slack rule.
 #pragma once
 
 #include <cstddef>
@@ -14,30 +14,32 @@
 
 namespace magpie {
 
-// Makes the choice of the PARIS/ELSA paper's Algorithm 2 (see ChooseOption) without comparing all
-// machines for each task: the machines are ordered once, in an index that jobs alike share, and
-// after that only those that have changed are entered again.
+// Makes the same choice as ChooseOption (Algorithm 2 of the PARIS/ELSA paper) without comparing all
+// machines for each task. The machines are ordered once, in an index shared by jobs with the same
+// task size and image; afterwards only changed machines are added again.
 //
-// It lives while the tasks of one job are placed. The plan may change in the meantime.
+// An instance places the tasks of one job. The plan may change between calls.
 class CandidateSelector {
  public:
   struct Selection {
     std::size_t machine_index = 0;
     PlacementOption option;
-    Instant start;  // when the machine has room for the task; its image fetch comes after that
+    Instant start;  // when the machine has free capacity for the task, before the image fetch
   };
 
-  // All must outlive the selector. `target`: from now, until the task should be done.
+  // All references must outlive the selector. `target`: time from now until the task should be
+  // done.
   CandidateSelector(ClusterState& state, PlacementPlan& plan, const Job& job, Seconds target,
                     Instant now);
 
-  // The machine for the next task as the plan stands now; nullopt if none will ever have room.
+  // Returns the machine for the next task under the current plan; nullopt if no machine is
+  // predicted to have enough free capacity for it.
   std::optional<Selection> Select();
 
  private:
-  // A kind of machine that the job may use, in the order in which the rule prefers them.
+  // A kind of machine that the job may use, ordered by the preference of the slack rule.
   struct AllowedKind {
-    bool on_demand = false;  // for a job that may run on spot machines
+    bool on_demand = false;  // on-demand kind, for a job that may run on spot machines
     double machine_cpus = 0;
     std::size_t kind = 0;
     auto operator<=>(const AllowedKind&) const = default;
@@ -52,12 +54,12 @@
   CandidateIndex::Candidate CandidateAt(std::size_t machine_index, Instant start) const;
   PlacementOption OptionOf(const AllowedKind& kind, const CandidateIndex::Candidate& candidate,
                            bool available_now) const;
-  bool IsZoneOpen(const AllowedKind& kind) const;
+  bool IsZoneStillAllowed(const AllowedKind& kind) const;
   Selection SelectionOf(const AllowedKind& kind, const CandidateIndex::Candidate& candidate) const;
-  // The smallest machine available now that has slack.
-  std::optional<Selection> SmallestInTime();
-  // The machine that finishes the task soonest, available now or not.
-  std::optional<Selection> Soonest();
+  // The smallest machine available now that leaves slack.
+  std::optional<Selection> SmallestWithSlack();
+  // The machine that finishes the task first, available now or not.
+  std::optional<Selection> EarliestFinishing();
 
   ClusterState& state_;
   PlacementPlan& plan_;
@@ -66,7 +68,7 @@
   Seconds target_;
   Instant now_;
   std::vector<AllowedKind> kinds_;
-  std::size_t known_kinds_ = 0;  // how many of the plan's kinds have been checked
+  std::size_t checked_kinds_ = 0;  // number of the plan's kinds already checked
 };
 
 }  // namespace magpie
--- a/src/scheduling/consolidator.cc
+++ b/src/scheduling/consolidator.cc
@@ -10,15 +10,15 @@
 
 Consolidation Consolidator::Plan(const PlacementPlan& plan, Instant now) {
   constexpr Seconds kInterval{5};
-  constexpr double kMaxMovedPart = 0.015;  // of all replicas; one machine may always be drained
-  if (now < next_at_) return {};
+  constexpr double kMaxMovedFraction = 0.015;  // of all replicas; one machine can always be drained
+  if (now < next_plan_at_) return {};
   const Candidates candidates = FindCandidates(plan);
   if (candidates.machines.empty()) return {};
   const std::vector<const PlannedMachine*> destinations = FindDestinations(plan);
   const auto max_moved =
-      static_cast<std::size_t>(kMaxMovedPart * static_cast<double>(candidates.replicas));
+      static_cast<std::size_t>(kMaxMovedFraction * static_cast<double>(candidates.replicas));
   Consolidation consolidation;
-  Taken taken;
+  ResourcesByDestination taken;
   std::set<const Machine*> drained;
   std::set<const Machine*> used_as_destination;
   std::size_t moved = 0;
@@ -26,10 +26,11 @@
     Machine& machine = *candidate.machine;
     if (moved > 0 && moved + machine.tasks.size() > max_moved) continue;
     if (used_as_destination.contains(&machine)) continue;
-    std::optional<Taken> taken_with = MoveAll(machine, destinations, drained, taken, now);
-    if (!taken_with) continue;
+    std::optional<ResourcesByDestination> taken_after_move =
+        PlanMoves(machine, destinations, drained, taken, now);
+    if (!taken_after_move) continue;
     moved += machine.tasks.size();
-    taken = *std::move(taken_with);
+    taken = *std::move(taken_after_move);
     for (const auto& [destination, resources] : taken)
       if (used_as_destination.insert(destination->machine).second)
         consolidation.destinations.push_back(destination->machine);
@@ -37,12 +38,12 @@
     consolidation.to_drain.push_back(&machine);
     if (moved >= max_moved) break;
   }
-  if (moved > 0) next_at_ = now + kInterval;
+  if (moved > 0) next_plan_at_ = now + kInterval;
   return consolidation;
 }
 
 Consolidator::Candidates Consolidator::FindCandidates(const PlacementPlan& plan) const {
-  constexpr double kMaxUsedPart = 0.5;
+  constexpr double kMaxUsedFraction = 0.5;
   constexpr std::size_t kMaxCandidates = 32;
   Candidates candidates;
   for (const PlannedMachine& planned : plan.machines()) {
@@ -53,9 +54,9 @@
       continue;
     candidates.replicas +=
         machine->tasks.size() - std::min<std::size_t>(machine->arrays, machine->tasks.size());
-    const double used_part = machine->used.cpus / std::max(kind.type->capacity.cpus, 1.0);
-    if (used_part <= kMaxUsedPart)
-      candidates.machines.push_back({kind.type->price * (1 - used_part), machine});
+    const double used_fraction = machine->used.cpus / std::max(kind.type->capacity.cpus, 1.0);
+    if (used_fraction <= kMaxUsedFraction)
+      candidates.machines.push_back({kind.type->price * (1 - used_fraction), machine});
   }
   std::sort(candidates.machines.begin(), candidates.machines.end(),
             [](const Candidate& a, const Candidate& b) {
@@ -86,9 +87,9 @@
          now - task.since > state_.options.min_replica_age;
 }
 
-std::optional<Consolidator::Taken> Consolidator::MoveAll(
+std::optional<Consolidator::ResourcesByDestination> Consolidator::PlanMoves(
     const Machine& machine, const std::vector<const PlannedMachine*>& destinations,
-    const std::set<const Machine*>& drained, Taken taken, Instant now) const {
+    const std::set<const Machine*>& drained, ResourcesByDestination taken, Instant now) const {
   double kept_price = 0;
   for (const HeldTask& held : machine.tasks) {
     if (!MayMove(held, now)) return std::nullopt;
@@ -103,8 +104,9 @@
 
 std::optional<Consolidator::Destination> Consolidator::DestinationFor(
     const Job& job, const Machine& source, const std::vector<const PlannedMachine*>& destinations,
-    const std::set<const Machine*>& drained, const Taken& taken, double kept_price) const {
-  constexpr double kMaxKeptPart = 0.7;  // of the source's price
+    const std::set<const Machine*>& drained, const ResourcesByDestination& taken,
+    double kept_price) const {
+  constexpr double kMaxKeptPriceFraction = 0.7;  // of the source's price
   const double source_price = state_.kinds.all()[*source.kind].type->price;
   const Resources& per_task = job.spec.per_task;
   for (const PlannedMachine* planned : destinations) {
@@ -113,12 +115,12 @@
     const Machine* machine = planned->machine;
     if (machine == &source || machine->draining || drained.contains(machine)) continue;
     const KindInfo& kind = state_.kinds.all()[planned->kind];
-    if (kind.type->price > source_price || !KindAllows(job.spec, kind) ||
+    if (kind.type->price > source_price || !CanRunOnKind(job.spec, kind) ||
         !HasImage(*machine, job.image))
       continue;
     const auto taken_there = taken.find(planned);
     const bool idle = machine->tasks.empty() && taken_there == taken.end();
-    if (idle && kept_price + kind.type->price > kMaxKeptPart * source_price) continue;
+    if (idle && kept_price + kind.type->price > kMaxKeptPriceFraction * source_price) continue;
     Resources total = taken_there == taken.end() ? Resources{} : taken_there->second;
     total += per_task;
     if (total.Fits(free)) return Destination{planned, total, idle};
--- a/src/scheduling/consolidator.h
+++ b/src/scheduling/consolidator.h
@@ -1,4 +1,4 @@
-// Moves replicas off machines that are mostly unused, so that these can be released.
+// Moves replicas off mostly unused machines, so that these machines can be released.
 #pragma once
 
 #include <cstddef>
@@ -15,27 +15,27 @@
 
 namespace magpie {
 
-// Machines to drain, and where their replicas can go.
+// Machines to drain, and the machines that take over their replicas.
 struct Consolidation {
   std::vector<Machine*> to_drain;      // the most wasteful first
-  std::vector<Machine*> destinations;  // not to be released in the meantime
+  std::vector<Machine*> destinations;  // must not be released until the moves are done
 };
 
-// Policy: a machine that is at most half used, by replicas alone, is drained if all of them can go
-// on at once on other machines: on such as are kept anyway, or on cheaper ones that would be
-// released otherwise. Each move takes a replica away for a moment, so only a small part of all
-// replicas moves at a time.
+// Policy: a machine that is at most half used, and only by replicas, is drained if all its replicas
+// can start at once on other machines: on machines that are kept anyway, or on cheaper ones that
+// would otherwise be released. Each move interrupts a replica briefly, so only a small fraction of
+// all replicas moves at a time.
 class Consolidator {
  public:
   // `state` must outlive this object.
   explicit Consolidator(const ClusterState& state) : state_(state) {}
 
-  // The drains that are due now; none within a few seconds of the last ones.
+  // Returns the drains to start now; none within a few seconds after the last ones.
   Consolidation Plan(const PlacementPlan& plan, Instant now);
 
  private:
-  // What the moves planned so far take of each destination.
-  using Taken = std::map<const PlannedMachine*, Resources>;
+  // Resources that the moves planned so far use on each destination.
+  using ResourcesByDestination = std::map<const PlannedMachine*, Resources>;
   struct Candidate {
     double waste = 0;  // price of the unused part
     Machine* machine = nullptr;
@@ -46,30 +46,30 @@
   };
   struct Destination {
     const PlannedMachine* planned = nullptr;
-    Resources taken;    // with the moved task
-    bool idle = false;  // it would be released otherwise
+    Resources taken;    // by all moves, including this one
+    bool idle = false;  // would otherwise be released
   };
 
   Candidates FindCandidates(const PlacementPlan& plan) const;
-  // The machines that replicas may move to, the fullest first so that the others become empty.
+  // Machines that replicas may move to, fullest first so that the other machines become empty.
   std::vector<const PlannedMachine*> FindDestinations(const PlacementPlan& plan) const;
-  // Whether the task is a replica that has settled.
+  // Whether the task is a replica that has run long enough to be moved.
   bool MayMove(const HeldTask& held, Instant now) const;
-  // Places all tasks of the machine on destinations, for clearly less than its own price. Adds to
-  // `taken` what they take there; nullopt if that is not possible.
-  std::optional<Taken> MoveAll(const Machine& machine,
-                               const std::vector<const PlannedMachine*>& destinations,
-                               const std::set<const Machine*>& drained, Taken taken,
-                               Instant now) const;
-  // The first destination for the job's task. `kept_price`: of the idle machines that would be kept
-  // for the moves alone.
+  // Plans to move all tasks of the machine; idle machines kept only for the moves must cost clearly
+  // less than it. Returns `taken` plus the resources of these tasks; nullopt if that is impossible.
+  std::optional<ResourcesByDestination> PlanMoves(
+      const Machine& machine, const std::vector<const PlannedMachine*>& destinations,
+      const std::set<const Machine*>& drained, ResourcesByDestination taken, Instant now) const;
+  // The first suitable destination for a task of the job. `kept_price`: total price of the idle
+  // machines that would be kept only for the moves.
   std::optional<Destination> DestinationFor(const Job& job, const Machine& source,
                                             const std::vector<const PlannedMachine*>& destinations,
                                             const std::set<const Machine*>& drained,
-                                            const Taken& taken, double kept_price) const;
+                                            const ResourcesByDestination& taken,
+                                            double kept_price) const;
 
   const ClusterState& state_;
-  Instant next_at_;
+  Instant next_plan_at_;
 };
 
 }  // namespace magpie
--- a/src/scheduling/due_times.cc
+++ b/src/scheduling/due_times.cc
@@ -38,9 +38,9 @@
   return targets;
 }
 
-DueTimes DueTimeCalculator::Tightest(const JobSpec& spec, std::vector<Target> targets, Seconds age,
-                                     Seconds run_time) const {
-  constexpr double kLongOverdue = 5;  // in the latest target
+DueTimes DueTimeCalculator::DueTimesOfTargets(const JobSpec& spec, std::vector<Target> targets,
+                                              Seconds age, Seconds run_time) const {
+  constexpr double kLongOverdueFactor = 5;  // times the latest target
   if (targets.empty()) {
     const Seconds target = options_.weights.target_factor * run_time;
     targets.push_back({target, target});
@@ -50,10 +50,10 @@
   due.target = targets.front().finish - age;
   due.run_time = run_time;
   if (spec.kind == JobKind::kService) return due;
-  due.long_overdue = age >= kLongOverdue * targets.back().finish;
+  due.long_overdue = age >= kLongOverdueFactor * targets.back().finish;
   for (const Target& target : targets) {
     if (due.targets.empty()) due.target = target.finish - age;
-    if (age <= target.possible_until) due.targets.push_back(target.finish - age);
+    if (age <= target.attainable_until) due.targets.push_back(target.finish - age);
   }
   return due;
 }
@@ -63,12 +63,12 @@
   const Seconds age = wall - spec.submitted;
   const Seconds run_time = RunTimeOnLargestType(spec);
   const std::vector<Target> class_targets = TargetsOfClass(spec, run_time);
-  DueTimes due = Tightest(spec, class_targets, age, run_time);
+  DueTimes due = DueTimesOfTargets(spec, class_targets, age, run_time);
   const Seconds provisioning_target = due.target;
   std::vector<Target> targets = TargetsOfGuarantee(job, run_time);
   if (!targets.empty()) {
     targets.insert(targets.end(), class_targets.begin(), class_targets.end());
-    due = Tightest(spec, std::move(targets), age, run_time);
+    due = DueTimesOfTargets(spec, std::move(targets), age, run_time);
   }
   due.provisioning_target = provisioning_target;
   return due;
--- a/src/scheduling/due_times.h
+++ b/src/scheduling/due_times.h
@@ -1,4 +1,5 @@
-// Targets of jobs: their deadlines and the service-level objectives of their class.
+// Computes the targets of jobs from their deadlines and the service-level objectives of their
+// class.
 #pragma once
 
 #include <vector>
@@ -13,12 +14,12 @@
 
 namespace magpie {
 
-// Policy: a job's target is the tightest of its targets that has not passed. A job without any gets
-// one in proportion to its predicted run time. A job within its team's guarantee has to start soon,
-// whatever its class.
+// Policy: a job's target is the tightest of its targets that has not passed. A job without targets
+// gets one in proportion to its predicted run time. A job within its team's guarantee must start
+// soon, whatever its class.
 class DueTimeCalculator {
  public:
-  // All must outlive the calculator.
+  // All references must outlive the calculator.
   DueTimeCalculator(const SchedulerOptions& options, const Autoscaler& autoscaler,
                     const RunTimeEstimator& run_times)
       : options_(options), autoscaler_(autoscaler), run_times_(run_times) {}
@@ -26,20 +27,20 @@
   DueTimes Calculate(const Job& job, WallTime wall) const;
 
  private:
-  // Both from the job's submission.
+  // Times are relative to the job's submission.
   struct Target {
     Seconds finish;
-    // Until then the target may still be met. Estimates of run times are too often wrong to give a
-    // target up any sooner.
-    Seconds possible_until;
+    // Until this time the target counts as attainable. Run time estimates are wrong too often to
+    // give up a target any earlier.
+    Seconds attainable_until;
     auto operator<=>(const Target&) const = default;
   };
 
   Seconds RunTimeOnLargestType(const JobSpec& spec) const;
   std::vector<Target> TargetsOfClass(const JobSpec& spec, Seconds run_time) const;
   std::vector<Target> TargetsOfGuarantee(const Job& job, Seconds run_time) const;
-  DueTimes Tightest(const JobSpec& spec, std::vector<Target> targets, Seconds age,
-                    Seconds run_time) const;
+  DueTimes DueTimesOfTargets(const JobSpec& spec, std::vector<Target> targets, Seconds age,
+                             Seconds run_time) const;
 
   const SchedulerOptions& options_;
   const Autoscaler& autoscaler_;
--- a/src/scheduling/failure_detector.h
+++ b/src/scheduling/failure_detector.h
@@ -1,9 +1,9 @@
-// Finds machines that are lost, useless or about to be taken, and releases them.
+// Finds machines that are lost, unusable or about to be preempted, and releases them.
 //
-// Silence alone never frees a task: a machine that is given up is released, and its tasks are
-// placed anew only once the cloud has confirmed that (CloudCoordinator). So a wrong guess here
-// costs money and time but never runs a task twice. A zone whose silence looks like a network
-// partition is given more time, until the leases of its workers must have ended.
+// Missing heartbeats alone never free a task: a lost machine is released, and its tasks are placed
+// again only after the cloud has confirmed the release (CloudCoordinator). A wrong decision here
+// therefore costs money and time, but no task runs twice. A zone whose missing heartbeats suggest a
+// network partition gets more time, until the leases of its workers must have expired.
 #pragma once
 
 #include <map>
@@ -21,35 +21,35 @@
 // Not thread-safe: it belongs to one scheduler.
 class FailureDetector {
  public:
-  // All must outlive this object.
+  // All references must outlive this object.
   FailureDetector(ClusterState& state, TaskLifecycle& lifecycle, CloudCoordinator& cloud,
                   MassFailureAlarm& alarm)
       : state_(state), lifecycle_(lifecycle), cloud_(cloud), alarm_(alarm) {}
 
   void Clear() { zone_suspected_until_.clear(); }
-  // Inspects the machines that are watched, and those that are silent for longer than they may be.
+  // Inspects the watched machines and those whose heartbeats have been missing for too long.
   void InspectMachines(Instant now);
 
  private:
-  // How long a machine has been silent, and how long it may be.
-  struct Silence {
+  // Time since a machine's last heartbeat, and the time after which the machine counts as lost.
+  struct HeartbeatGap {
     Seconds length;
     Seconds allowed;
-    bool partitioned = false;  // its zone is suspected
-    bool alone = false;        // it does not answer, while others of its zone are heard
+    bool partitioned = false;  // the machine's zone is suspected
+    bool isolated = false;     // it does not answer probes, while heartbeats of its zone arrive
   };
 
   std::set<std::string> SuspectedZones(Instant now);
   std::map<std::string, std::uint32_t> CountRelayedByZone(Instant now);
   void Inspect(Machine& machine, const std::set<std::string>& suspected_zones, Instant now);
-  Silence SilenceOf(const Machine& machine, const std::set<std::string>& suspected_zones,
-                    Instant now) const;
-  Seconds LoneMachineTimeout() const;
-  Seconds LeaseEnded() const;
-  bool IsLost(const Machine& machine, const Silence& silence, Instant now) const;
-  bool HoldsOverdueCancellation(const Machine& machine, Instant now) const;
+  HeartbeatGap HeartbeatGapOf(const Machine& machine, const std::set<std::string>& suspected_zones,
+                              Instant now) const;
+  Seconds SingleMachineTimeout() const;
+  Seconds LeaseExpiryTimeout() const;
+  bool IsLost(const Machine& machine, const HeartbeatGap& gap, Instant now) const;
+  bool HasOverdueCancelledTask(const Machine& machine, Instant now) const;
   bool IsBootOverdue(const Machine& machine, Instant now) const;
-  bool IsOfNoMoreUse(const Machine& machine, Instant now) const;
+  bool IsEmptyAndUnusable(const Machine& machine, Instant now) const;
   void HandlePreemptionNotice(Machine& machine, Instant now);
 
   ClusterState& state_;
--- a/src/scheduling/headroom_planner.cc
+++ b/src/scheduling/headroom_planner.cc
@@ -9,9 +9,9 @@
 namespace magpie {
 namespace {
 
-constexpr Seconds kArrivalMemory{120};  // in which the weight of an arrival falls to 1/e
+constexpr Seconds kArrivalDecayTime{120};  // after which the weight of an arrival is 1/e
 
-double Decay(Seconds age) { return std::exp(-age.value / kArrivalMemory.value); }
+double Decay(Seconds age) { return std::exp(-age.value / kArrivalDecayTime.value); }
 
 double RunningReplicas(const JobTable& jobs) {
   double replicas = 0;
@@ -23,7 +23,7 @@
 }  // namespace
 
 void HeadroomPlanner::RecordArrival(const Job& job, std::uint32_t tasks, Instant now) {
-  // Services by image; arrays by class alone.
+  // Services are grouped by class and image, arrays by class alone.
   const bool is_service = job.spec.kind == JobKind::kService;
   RecentClass& recent =
       recent_classes_[job.spec.job_class + (is_service ? " " + job.spec.image : "")];
@@ -56,7 +56,7 @@
     demand.spec = &recent.spec;
     demand.images.push_back(recent.image);
     demand.arrived_tasks += recent.arrived_tasks * Decay(age);
-    if (age < kArrivalMemory) demand.largest = std::max(demand.largest, recent.spec.tasks);
+    if (age < kArrivalDecayTime) demand.largest = std::max(demand.largest, recent.spec.tasks);
     for (std::uint32_t i = 0; i < state_.options.headroom; ++i) {
       ReserveReplica(round, recent, now);
       ++demand.reserved;
@@ -68,7 +68,7 @@
 HeadroomPlanner::Preference HeadroomPlanner::PreferenceOf(
     const PlannedMachine& planned, const std::vector<std::uint32_t>& images) const {
   Preference preference;
-  preference.boots = !planned.available_now;
+  preference.unavailable_now = !planned.available_now;
   preference.unneeded = !planned.needed;
   preference.price = state_.kinds.all()[planned.kind].type->price;
   for (const std::uint32_t image : images)
@@ -85,7 +85,7 @@
   Preference best_preference;
   for (std::size_t kind = 0; kind < round.plan.by_kind().size(); ++kind) {
     const std::vector<std::size_t>& machines = round.plan.by_kind()[kind];
-    if (machines.empty() || !KindAllows(recent.spec, state_.kinds.all()[kind])) continue;
+    if (machines.empty() || !CanRunOnKind(recent.spec, state_.kinds.all()[kind])) continue;
     for (const std::size_t machine_index : machines) {
       const PlannedMachine& planned = round.plan.machines()[machine_index];
       if (!per_task.Fits(planned.timeline.free())) continue;
@@ -104,14 +104,15 @@
 
 std::uint32_t HeadroomPlanner::ReplicasToReserve(const ShapeDemand& demand,
                                                  double running_replicas) const {
-  // Arrivals count up to this part of what runs: a flood, as after a long outage, is not taken for
-  // the usual rate.
-  constexpr double kMaxOfRunning = 0.1;
+  // Arrivals count only up to this fraction of the running replicas, so that a burst, for example
+  // after a long outage, is not taken for the usual rate.
+  constexpr double kMaxArrivingFraction = 0.1;
   Seconds longest_boot{};
   for (const MachineType& type : state_.autoscaler.types())
     longest_boot = std::max(longest_boot, type.boot_time);
-  const double arriving = std::min(demand.arrived_tasks / kArrivalMemory.value * longest_boot.value,
-                                   kMaxOfRunning * running_replicas);
+  const double arriving =
+      std::min(demand.arrived_tasks / kArrivalDecayTime.value * longest_boot.value,
+               kMaxArrivingFraction * running_replicas);
   const double largest = demand.largest > 1 ? demand.largest : 0;
   const auto replicas =
       static_cast<std::uint32_t>(std::ceil(state_.options.headroom * std::max(largest, arriving)));
@@ -124,9 +125,9 @@
   if (replicas == 0) return;
   replicas = ReserveOnMachines(round, demand, replicas, now);
   while (replicas > 0 && round.may_scale_out) {
-    const std::uint32_t held = Provision(round, *demand.spec, replicas, now);
-    if (held == 0) break;
-    replicas -= std::min(replicas, held);
+    const std::uint32_t fitting = Provision(round, *demand.spec, replicas, now);
+    if (fitting == 0) break;
+    replicas -= std::min(replicas, fitting);
   }
 }
 
@@ -142,10 +143,10 @@
   const std::vector<PlannedMachine>& machines = round.plan.machines();
   for (std::size_t i = 0; i < machines.size(); ++i)
     if (spec.per_task.Fits(machines[i].timeline.free()) &&
-        KindAllows(spec, state_.kinds.all()[machines[i].kind]))
+        CanRunOnKind(spec, state_.kinds.all()[machines[i].kind]))
       options.push_back({PreferenceOf(machines[i], demand.images), i});
   std::sort(options.begin(), options.end());
-  // Replicas of a spread service may not all be in one zone.
+  // The replicas of a spread service must not all be in one zone.
   const std::uint32_t max_per_zone = spec.spread ? (replicas + 1) / 2 : replicas;
   std::map<std::string, std::uint32_t> reserved_by_zone;
   for (const Option& option : options) {
@@ -163,7 +164,7 @@
 
 std::uint32_t HeadroomPlanner::Provision(PlanningRound& round, const JobSpec& spec,
                                          std::uint32_t replicas, Instant now) const {
-  constexpr Seconds kNoTarget{1e9};  // so that the price decides
+  constexpr Seconds kNoTarget{1e9};  // lets the price alone decide
   CapacityDemand demand;
   demand.spec = &spec;
   demand.zone_allowed = [](const std::string&) { return true; };
@@ -178,18 +179,18 @@
   return TasksThatFit(offer->type->capacity, spec.per_task);
 }
 
-void HeadroomPlanner::KeepSpotMachines(PlanningRound& round, Instant now) const {
+void HeadroomPlanner::ReserveSpotMachines(PlanningRound& round, Instant now) const {
   for (const auto& [name, recent] : recent_classes_) {
     const JobSpec& spec = recent.spec;
     if (spec.kind != JobKind::kArray || now - recent.at > state_.options.spot_idle_timeout)
       continue;
     std::uint32_t tasks = spec.tasks;
-    // Machines that are needed anyway go first.
+    // Machines that are needed anyway are reserved first.
     for (const bool needed : {true, false}) {
       for (std::size_t i = 0; i < round.plan.machines().size() && tasks > 0; ++i) {
         const PlannedMachine& planned = round.plan.machines()[i];
         const KindInfo& kind = state_.kinds.all()[planned.kind];
-        if (planned.needed != needed || !kind.kind.spot || !KindAllows(spec, kind)) continue;
+        if (planned.needed != needed || !kind.kind.spot || !CanRunOnKind(spec, kind)) continue;
         while (tasks > 0 && spec.per_task.Fits(planned.timeline.free())) {
           round.plan.Reserve(i, now, spec.per_task, std::nullopt);
           --tasks;
--- a/src/scheduling/headroom_planner.h
+++ b/src/scheduling/headroom_planner.h
@@ -1,4 +1,4 @@
-// Keeps spare capacity for the services and arrays that are likely to come next.
+// Reserves spare capacity for services and arrays that are likely to arrive soon.
 #pragma once
 
 #include <cstddef>
@@ -16,44 +16,44 @@
 
 namespace magpie {
 
-// Policy: for services there is room for one replica of each recent image, on a machine that has
-// the image if possible, and for each shape as much as the largest recent service took and as
-// arrives while a machine boots. Idle spot machines are kept while arrays of a recent class may
-// soon use them.
+// Policy: capacity is reserved for one replica of each recent service image, on a machine that has
+// the image if possible, and for each task shape for as many replicas as the largest recent service
+// has or as arrive while a machine boots. Idle spot machines are kept while arrays of a recent
+// class may soon use them.
 class HeadroomPlanner {
  public:
   // `state` must outlive this object.
   explicit HeadroomPlanner(const ClusterState& state) : state_(state) {}
 
   void Clear() { recent_classes_.clear(); }
-  // A job arrived, with this many tasks that count for the rate of arrivals.
+  // Records the arrival of a job. `tasks`: how many of its tasks count for the arrival rate.
   void RecordArrival(const Job& job, std::uint32_t tasks, Instant now);
-  // Reserves room for the next services, and provisions it if there is none.
+  // Reserves capacity for upcoming services, and provisions machines if there is too little.
   void ReserveForServices(PlanningRound& round, Instant now);
-  // Reserves the idle spot machines that recent classes of arrays may soon use.
-  void KeepSpotMachines(PlanningRound& round, Instant now) const;
+  // Reserves the idle spot machines that arrays of recent classes may soon use.
+  void ReserveSpotMachines(PlanningRound& round, Instant now) const;
 
  private:
-  // The latest job of a class of arrays, or of an image of services.
+  // The latest job of an array class, or of a service class and image.
   struct RecentClass {
     JobSpec spec;
     std::uint32_t image = 0;
-    double arrived_tasks = 0;  // decaying, as of `at`
+    double arrived_tasks = 0;  // decaying count, as of `at`
     Instant at;
   };
-  // What recent services of one shape may need.
+  // Expected demand of recent services of one shape.
   struct ShapeDemand {
-    const JobSpec* spec = nullptr;  // of the last one
-    double arrived_tasks = 0;       // decaying
-    std::uint32_t largest = 0;      // tasks of the largest one that arrived lately
-    std::uint32_t reserved = 0;     // replicas that have room already
+    const JobSpec* spec = nullptr;  // of one of these services
+    double arrived_tasks = 0;       // decaying count
+    std::uint32_t largest = 0;      // tasks of the largest service that arrived recently
+    std::uint32_t reserved = 0;     // replicas that already have a reservation
     std::vector<std::uint32_t> images;
   };
-  // The order in which machines are taken for headroom; lower ones first.
+  // The preference of machines for headroom; lower values first.
   struct Preference {
-    bool boots = false;
+    bool unavailable_now = false;
     std::size_t missing_images = 0;
-    bool unneeded = false;  // it could be released otherwise
+    bool unneeded = false;  // could otherwise be released
     double price = 0;
     auto operator<=>(const Preference&) const = default;
   };
@@ -63,10 +63,10 @@
   void ReserveForShape(PlanningRound& round, const ShapeDemand& demand, double running_replicas,
                        Instant now) const;
   std::uint32_t ReplicasToReserve(const ShapeDemand& demand, double running_replicas) const;
-  // Reserves machines of the plan for up to `replicas`; returns for how many there was no room.
+  // Reserves capacity on planned machines for up to `replicas`; returns how many did not fit.
   std::uint32_t ReserveOnMachines(PlanningRound& round, const ShapeDemand& demand,
                                   std::uint32_t replicas, Instant now) const;
-  // Plans to provision a machine for replicas to come; returns how many of them it holds.
+  // Plans to provision a machine for upcoming replicas; returns how many of them fit on it.
   std::uint32_t Provision(PlanningRound& round, const JobSpec& spec, std::uint32_t replicas,
                           Instant now) const;
   Preference PreferenceOf(const PlannedMachine& planned,
--- a/src/scheduling/job_ordering.cc
+++ b/src/scheduling/job_ordering.cc
@@ -9,9 +9,11 @@
 namespace magpie {
 namespace {
 
-constexpr double kFloor = 0.25;           // of the capacity that arrays have
-constexpr double kNoPreemptionBelow = 2;  // in floors
-constexpr JobRank kAfterPromised{0, 1};   // after all jobs of the first tier
+constexpr double kFloorFraction = 0.25;  // of the capacity available to arrays
+// Arrays are not preempted for a higher priority while they hold at most this multiple of the
+// floor.
+constexpr double kMinFloorsForPreemption = 2;
+constexpr JobRank kRankAfterGuaranteed{0, 1};  // behind all jobs of the first tier
 
 void SortByRank(std::vector<QueuedJob>& jobs) {
   std::sort(jobs.begin(), jobs.end(), [](const QueuedJob& a, const QueuedJob& b) {
@@ -57,7 +59,8 @@
       continue;
     }
     ++position;
-    // A job that may be faulty itself takes neither capacity nor machines from others.
+    // A job that may itself be faulty gets few tasks, so that it takes no capacity or machines
+    // from others.
     std::uint32_t max_tasks = failures.MaxConcurrentTasks(job->serial);
     if (max_tasks <= job->bound || now < failures.NotBefore(job->serial)) continue;
     if (max_tasks != FailureAttribution::kUnlimited) max_tasks -= job->bound;
@@ -78,11 +81,11 @@
     while (end < jobs.size() && jobs[end].rank == jobs[begin].rank) ++end;
     const std::span<QueuedJob> same_rank(jobs.data() + begin, end - begin);
     const Priority priority = same_rank.front().job->spec.priority;
-    // Below a priority that is overloaded, the floor is all there is, and nothing goes before it.
+    // Below an overloaded priority only the floor is available, and no other work precedes it.
     const bool has_floor_only = lowest_deferred && priority < *lowest_deferred;
-    const Seconds work = has_floor_only
-                             ? DeferLateJobsOfRank(same_rank, Seconds{}, kFloor)
-                             : DeferLateJobsOfRank(same_rank, work_ahead + BusyFrom(priority), 1);
+    const Seconds work =
+        has_floor_only ? DeferLateJobsOfRank(same_rank, Seconds{}, kFloorFraction)
+                       : DeferLateJobsOfRank(same_rank, work_ahead + RunningWorkFrom(priority), 1);
     work_ahead = work_ahead + work;
     for (const QueuedJob& queued : same_rank)
       if (queued.deferred && (!lowest_deferred || priority < *lowest_deferred))
@@ -92,10 +95,10 @@
   return lowest_deferred;
 }
 
-// Tells the jobs of one rank that can be in time, along with the work ahead of them, from those
-// that are deferred, if they get this part of the capacity. Returns the work of all of them.
+// Defers the jobs of one rank that cannot be in time, given the work ahead of them and this
+// fraction of the capacity. Returns the work of all jobs of the rank.
 Seconds JobOrdering::DeferLateJobsOfRank(std::span<QueuedJob> jobs, Seconds work_ahead,
-                                         double capacity_part) const {
+                                         double capacity_fraction) const {
   std::vector<QueuedJob*> arrays;
   std::vector<WaitingWork> waiting;
   Seconds deferred_work{};
@@ -103,7 +106,7 @@
   for (QueuedJob& queued : jobs) {
     queued.sort_key = queued.due.target;
     if (queued.job->spec.kind == JobKind::kService) continue;
-    const Seconds work = (1 / capacity_part) * RemainingWork(queued);
+    const Seconds work = (1 / capacity_fraction) * RemainingWork(queued);
     if (queued.due.long_overdue) {
       overdue_work = overdue_work + work;
     } else if (queued.due.targets.empty()) {
@@ -127,7 +130,7 @@
   return overdue_work + decision.planned_work + deferred_work;
 }
 
-// For how long the job's waiting tasks would take all the capacity that they may use.
+// How long the job's waiting tasks would occupy all the capacity that they may use.
 Seconds JobOrdering::RemainingWork(const QueuedJob& queued) const {
   const JobSpec& spec = queued.job->spec;
   const Resources& per_task = spec.per_task;
@@ -136,7 +139,7 @@
   for (std::size_t kind = 0; kind < capacity_.by_kind.size(); ++kind) {
     const KindCapacity& capacity = capacity_.by_kind[kind];
     const KindInfo& info = state_.kinds.all()[kind];
-    if (capacity.machines == 0 || !KindAllows(spec, info)) continue;
+    if (capacity.machines == 0 || !CanRunOnKind(spec, info)) continue;
     const Resources& free = capacity.without_services;
     double fitting =
         capacity.machines * static_cast<double>(TasksThatFit(info.type->capacity, per_task));
@@ -149,15 +152,15 @@
   return {static_cast<double>(tasks) * queued.due.run_time.value / std::max(concurrent, 1.0)};
 }
 
-// The work of the running arrays that are not preempted for this priority.
-Seconds JobOrdering::BusyFrom(Priority priority) const {
+// The remaining work of running arrays that are not preempted for this priority.
+Seconds JobOrdering::RunningWorkFrom(Priority priority) const {
   Seconds busy;
   for (auto p = static_cast<std::size_t>(priority); p < capacity_.remaining_run_time.size(); ++p)
     busy = busy + capacity_.remaining_run_time.at(p);
   return busy;
 }
 
-// CPUs that arrays of lower priority hold.
+// CPUs in use by arrays of lower priority.
 double JobOrdering::ArrayCpusBelow(Priority priority) const {
   double cpus = 0;
   for (std::size_t p = 0; p < static_cast<std::size_t>(priority); ++p)
@@ -165,23 +168,25 @@
   return cpus;
 }
 
-// Moves less urgent jobs that can be in time forward, up to the floor: right after the jobs that a
-// guarantee promises.
+// Moves less urgent jobs that can be in time forward, up to the floor, directly behind the jobs
+// of the first tier (JobRank::tier).
 void JobOrdering::ReserveFloor(OrderedJobs& ordered) const {
-  const double floor = kFloor * capacity_.array_cpus;
+  const double floor = kFloorFraction * capacity_.array_cpus;
   for (const Priority overloaded : {Priority::kNormal, Priority::kHigh, Priority::kProduction}) {
     if (!HasDeferredJob(ordered.jobs, overloaded)) continue;
-    double held = ArrayCpusBelow(overloaded);
-    // Work above its floor may be preempted, but not by jobs that were just ranked behind it.
-    if (held <= kNoPreemptionBelow * floor) ordered.no_preemption_up_to = overloaded;
+    double floor_cpus_used = ArrayCpusBelow(overloaded);
+    // Less urgent work above its floor may be preempted, but not by jobs that are now ranked behind
+    // it.
+    if (floor_cpus_used <= kMinFloorsForPreemption * floor)
+      ordered.max_non_preempting_priority = overloaded;
     for (QueuedJob& queued : ordered.jobs) {
-      if (held >= floor) break;
+      if (floor_cpus_used >= floor) break;
       const JobSpec& spec = queued.job->spec;
       if (spec.kind == JobKind::kService || spec.priority >= overloaded || queued.deferred ||
-          queued.rank <= kAfterPromised)
+          queued.rank <= kRankAfterGuaranteed)
         continue;
-      queued.rank = kAfterPromised;
-      held += static_cast<double>(queued.job->pending.size()) * spec.per_task.cpus;
+      queued.rank = kRankAfterGuaranteed;
+      floor_cpus_used += static_cast<double>(queued.job->pending.size()) * spec.per_task.cpus;
     }
   }
 }
--- a/src/scheduling/job_ordering.h
+++ b/src/scheduling/job_ordering.h
@@ -1,4 +1,4 @@
-// The order in which waiting jobs are planned, and which of them are deferred under overload.
+// Orders waiting jobs for planning, and defers some of them under overload.
 #pragma once
 
 #include <optional>
@@ -14,13 +14,13 @@
 
 namespace magpie {
 
-// Policy: jobs go by rank. Within a rank, jobs that can still be in time go before jobs that are
-// late or would make more of the others late; under overload each late job would otherwise make the
-// next one late. Deferred jobs go by the work that is left, so that the capacity is not spread over
-// arrays of which hardly any ends.
+// Policy: jobs are ordered by rank. Within a rank, jobs that can still be in time precede jobs that
+// are late or would make more of the others late; under overload each late job would otherwise make
+// the next one late. Deferred jobs are ordered by remaining work, so that the capacity is not
+// spread over many arrays of which few finish.
 //
-// While not all urgent work can be in time, less urgent work keeps a floor, a part of the capacity.
-// Otherwise it would be started and preempted for hours and never end.
+// While not all urgent work can be in time, less urgent work keeps a floor, a fraction of the
+// capacity. Otherwise it would be started and preempted for hours without finishing.
 class JobOrdering {
  public:
   // Both must outlive this object.
@@ -29,7 +29,7 @@
         capacity_(capacity),
         due_times_(state.options, state.autoscaler, state.run_times) {}
 
-  // Drops jobs that have no tasks to be placed any more from the queue, and orders the others.
+  // Removes jobs without tasks left to place from the queue, and orders the others.
   OrderedJobs Order(Instant now, WallTime wall);
 
  private:
@@ -37,9 +37,9 @@
   // Defers jobs rank by rank. Returns the lowest priority of a deferred job.
   std::optional<Priority> DeferLateJobs(std::vector<QueuedJob>& jobs) const;
   Seconds DeferLateJobsOfRank(std::span<QueuedJob> jobs, Seconds work_ahead,
-                              double capacity_part) const;
+                              double capacity_fraction) const;
   Seconds RemainingWork(const QueuedJob& queued) const;
-  Seconds BusyFrom(Priority priority) const;
+  Seconds RunningWorkFrom(Priority priority) const;
   double ArrayCpusBelow(Priority priority) const;
   void ReserveFloor(OrderedJobs& ordered) const;
 
--- a/src/scheduling/job_shape.h
+++ b/src/scheduling/job_shape.h
@@ -1,4 +1,4 @@
-// Which tasks one machine could serve as well as another.
+// Shapes of jobs: tasks of the same shape can use the same machines.
 #pragma once
 
 #include <string>
@@ -7,8 +7,8 @@
 
 namespace magpie {
 
-// Names the job's class, the size of its tasks and its limits on machines. Tasks of one shape may
-// share a machine that was provisioned for any of them.
+// Returns a key made of the job's class, task size and restrictions on machines. Tasks of one shape
+// can share a machine that was provisioned for any of them.
 std::string ShapeOf(const JobSpec& spec);
 
 }  // namespace magpie
--- a/src/scheduling/machine_kinds.cc
+++ b/src/scheduling/machine_kinds.cc
@@ -14,7 +14,7 @@
   for (KindInfo& kind : kinds_) kind.type = autoscaler_.Find(kind.kind.type);
 }
 
-bool KindAllows(const JobSpec& spec, const KindInfo& kind) {
+bool CanRunOnKind(const JobSpec& spec, const KindInfo& kind) {
   if (kind.type == nullptr || (kind.kind.spot && !spec.spot)) return false;
   if (!AllowsType(spec, kind.kind.type)) return false;
   return (!spec.zone || *spec.zone == kind.kind.zone) && spec.per_task.Fits(kind.type->capacity);
--- a/src/scheduling/machine_kinds.h
+++ b/src/scheduling/machine_kinds.h
@@ -1,7 +1,7 @@
-// The kinds of machines seen so far, by number.
+// Numbers the kinds of machines seen so far.
 //
-// Invariant: a kind keeps its number for ever, so that a number may be kept with a machine, a plan
-// or a job. There are few kinds: types times zones times two.
+// Invariant: the number of a kind never changes, so it can be stored with a machine, a plan or a
+// job. There are few kinds: types times zones times two (spot or on-demand).
 #pragma once
 
 #include <cstddef>
@@ -15,7 +15,7 @@
 
 namespace magpie {
 
-// A kind of machine with its type; null if the cloud does not offer the type any more.
+// A kind of machine and its type, which is null if the cloud no longer offers it.
 struct KindInfo {
   MachineKind kind;
   const MachineType* type = nullptr;
@@ -27,9 +27,9 @@
   // `autoscaler` must outlive this object.
   explicit MachineKinds(const Autoscaler& autoscaler) : autoscaler_(autoscaler) {}
 
-  // The number of a kind, a new one if it was not seen before.
+  // Returns the number of a kind, and assigns one if the kind is new.
   std::size_t NumberOf(const MachineKind& kind);
-  // The cloud's types have changed.
+  // Looks up the type of each kind again; called when the types on offer have changed.
   void RefreshTypes();
   // Indexed by the kind's number.
   const std::vector<KindInfo>& all() const { return kinds_; }
@@ -40,7 +40,7 @@
   std::map<MachineKind, std::size_t> numbers_;
 };
 
-// Whether the job accepts machines of the kind and a task of it fits on an empty one.
-bool KindAllows(const JobSpec& spec, const KindInfo& kind);
+// Whether the job accepts machines of the kind and one of its tasks fits on an empty one.
+bool CanRunOnKind(const JobSpec& spec, const KindInfo& kind);
 
 }  // namespace magpie
--- a/src/scheduling/mass_failure_alarm.cc
+++ b/src/scheduling/mass_failure_alarm.cc
@@ -2,8 +2,8 @@
 
 namespace magpie {
 namespace {
-constexpr Seconds kDuration{10};
-constexpr Seconds kTogether{2};
+constexpr Seconds kAlarmDuration{10};
+constexpr Seconds kFailureWindow{2};
 constexpr std::size_t kMinFailures = 3;
 }  // namespace
 
@@ -14,10 +14,10 @@
 
 void MassFailureAlarm::RecordFailedProbe(Instant now) {
   failed_probes_.push_back(now);
-  while (now - failed_probes_.front() > kTogether) failed_probes_.pop_front();
+  while (now - failed_probes_.front() > kFailureWindow) failed_probes_.pop_front();
   if (failed_probes_.size() >= kMinFailures) Raise(now);
 }
 
-void MassFailureAlarm::Raise(Instant now) { until_ = now + kDuration; }
+void MassFailureAlarm::Raise(Instant now) { until_ = now + kAlarmDuration; }
 
 }  // namespace magpie
--- a/src/scheduling/mass_failure_alarm.h
+++ b/src/scheduling/mass_failure_alarm.h
@@ -1,6 +1,6 @@
-// Whether many machines seem to have failed at once.
+// Detects that several machines have failed at about the same time.
 //
-// Several machines that fail together are seldom alone: while the alarm is on, the others are
+// Such failures often affect further machines, so while the alarm is on, the other machines are
 // probed before their heartbeats are late.
 #pragma once
 
@@ -14,15 +14,15 @@
 class MassFailureAlarm {
  public:
   void Clear();
-  // A machine that was heard before does not answer its first probe.
+  // A machine that sent heartbeats before did not answer its first probe.
   void RecordFailedProbe(Instant now);
-  // A machine was found dead.
+  // Turns the alarm on; called when a machine is found to have failed.
   void Raise(Instant now);
   bool IsOn(Instant now) const { return now < until_; }
 
  private:
   Instant until_;
-  std::deque<Instant> failed_probes_;  // of late
+  std::deque<Instant> failed_probes_;  // within the last kFailureWindow
 };
 
 }  // namespace magpie
--- a/src/scheduling/overdue_tasks.cc
+++ b/src/scheduling/overdue_tasks.cc
@@ -2,9 +2,9 @@
 
 namespace magpie {
 
-void OverdueTasks::Add(Job& job, std::uint32_t index, Instant when) {
-  job.tasks[index].overdue = when;
-  entries_.insert({when, job.serial, index});
+void OverdueTasks::Add(Job& job, std::uint32_t index, Instant overdue_at) {
+  job.tasks[index].overdue = overdue_at;
+  entries_.insert({overdue_at, job.serial, index});
 }
 
 void OverdueTasks::Remove(Job& job, std::uint32_t index) {
--- a/src/scheduling/overdue_tasks.h
+++ b/src/scheduling/overdue_tasks.h
@@ -1,6 +1,6 @@
-// Running tasks by when they will have taken far longer than expected.
+// Running tasks, ordered by the time at which they have run far longer than expected.
 //
-// Invariant: a task is here exactly if Task::overdue is set, under that time.
+// Invariant: a task has an entry exactly if Task::overdue is set, with that time.
 #pragma once
 
 #include <compare>
@@ -16,19 +16,19 @@
 class OverdueTasks {
  public:
   struct Entry {
-    Instant when;
+    Instant overdue_at;
     std::uint32_t job_serial = 0;
     std::uint32_t index = 0;
     auto operator<=>(const Entry&) const = default;
   };
 
   void Clear() { entries_.clear(); }
-  // The task must not be here.
-  void Add(Job& job, std::uint32_t index, Instant when);
-  // Does nothing if the task is not here.
+  // The task must not have an entry.
+  void Add(Job& job, std::uint32_t index, Instant overdue_at);
+  // Does nothing if the task has no entry.
   void Remove(Job& job, std::uint32_t index);
   bool empty() const { return entries_.empty(); }
-  // The earliest; there must be one.
+  // The entry with the earliest time; there must be one.
   const Entry& first() const { return *entries_.begin(); }
 
  private:
--- a/src/scheduling/placement.cc
+++ b/src/scheduling/placement.cc
@@ -10,7 +10,7 @@
          std::tie(b.on_demand, b.machine_cpus, b.wait, b.free_cpus);
 }
 
-bool FinishesSooner(const PlacementOption& a, const PlacementOption& b) {
+bool FinishesEarlier(const PlacementOption& a, const PlacementOption& b) {
   const Seconds a_end = a.wait + a.run_time;
   const Seconds b_end = b.wait + b.run_time;
   return std::tie(a_end, a.on_demand, a.machine_cpus) <
@@ -26,15 +26,15 @@
 std::optional<std::size_t> ChooseOption(const std::vector<PlacementOption>& options, Seconds target,
                                         const PlacementWeights& weights) {
   std::optional<std::size_t> smallest;
-  std::optional<std::size_t> soonest;
+  std::optional<std::size_t> earliest;
   for (std::size_t i = 0; i < options.size(); ++i) {
     const PlacementOption& option = options[i];
     const bool in_time = Slack(target, option, weights).value >= 0;
     if (option.available_now && in_time && (!smallest || IsSmaller(option, options[*smallest])))
       smallest = i;
-    if (!soonest || FinishesSooner(option, options[*soonest])) soonest = i;
+    if (!earliest || FinishesEarlier(option, options[*earliest])) earliest = i;
   }
-  return smallest ? smallest : soonest;
+  return smallest ? smallest : earliest;
 }
 
 }  // namespace magpie
--- a/src/scheduling/placement.h
+++ b/src/scheduling/placement.h
@@ -1,5 +1,5 @@
-// Which machine a task takes: the slack rule of the PARIS/ELSA paper (Equations 1 and 2,
-// Algorithm 2), with the fetch of the task's image counted as part of its wait.
+// Selects a machine for a task by the slack rule of the PARIS/ELSA paper (Equations 1 and 2,
+// Algorithm 2). The fetch of the task's image counts as part of its wait.
 #pragma once
 
 #include <cstddef>
@@ -14,26 +14,27 @@
 struct PlacementWeights {
   double alpha = 1.3;          // of the predicted wait
   double beta = 1;             // of the predicted run time
-  double target_factor = 1.5;  // target of work without an objective, in run times
+  double target_factor = 1.5;  // target of jobs without an objective, in run times
 };
 
-// A machine on which a task would fit, as the slack rule compares machines.
+// A machine on which a task fits, with the properties that the slack rule compares.
 struct PlacementOption {
   bool on_demand = false;     // an on-demand machine, for a job that may run on spot machines
   double machine_cpus = 0;    // size of the machine
-  double free_cpus = 0;       // free before the task comes
-  bool available_now = true;  // the task could be sent there at once
-  Seconds wait;               // until the task could run, its image fetch included
+  double free_cpus = 0;       // without the task
+  bool available_now = true;  // the task can be sent to the machine at once
+  Seconds wait;               // until the task could run, including its image fetch
   Seconds run_time;           // predicted, on this type of machine
 };
 
-// The paper's Equation 2: target - alpha * wait - beta * run time. Negative when the task would be
+// Equation 2 of the paper: target - alpha * wait - beta * run time. Negative if the task would be
 // late.
 Seconds Slack(Seconds target, const PlacementOption& option, const PlacementWeights& weights);
 
-// The paper's Algorithm 2 over a list: among the options available now that have slack, the
-// smallest machine; with none, the option that finishes soonest, available now or not. Returns its
-// position; nullopt for an empty list. CandidateSelector makes the same choice over indexes.
+// Algorithm 2 of the paper over a list. Returns the position of the smallest machine among the
+// options that are available now and leave slack. If there is none, returns the option that
+// finishes first, available now or not; nullopt for an empty list. CandidateSelector makes the same
+// choice with indexes.
 std::optional<std::size_t> ChooseOption(const std::vector<PlacementOption>& options, Seconds target,
                                         const PlacementWeights& weights);
 
--- a/src/scheduling/plan_builder.cc
+++ b/src/scheduling/plan_builder.cc
@@ -6,11 +6,11 @@
 namespace magpie {
 namespace {
 
-// Heartbeat intervals after which a silent machine is not counted on.
-constexpr double kMaxSilence = 2.5;
-constexpr Seconds kStopTime{1};  // until a stopped task's resources are free
+// Heartbeat intervals without a heartbeat after which a machine is left out of the plan.
+constexpr double kMaxMissedIntervals = 2.5;
+constexpr Seconds kStopDuration{1};  // until the resources of a stopped task are free
 
-// Whether time alone may have the machine released, given up or emptied of its replicas.
+// Whether the machine may be released or drained only because time passes.
 bool MayChangeWithTime(const Machine& machine, const MachineType& type) {
   const bool mostly_unused = 2 * machine.used.cpus <= type.capacity.cpus;
   return !machine.up || machine.tasks.empty() ||
@@ -38,12 +38,12 @@
   round.plan.ExpectMachines(machines.size());
   state_.counters.machines_inspected += machines.size();
   for (const auto& [id, machine] : machines) {
-    const std::optional<std::size_t> number = KindOf(*machine);
-    if (!number) continue;
-    const KindInfo& kind = state_.kinds.all()[*number];
+    const std::optional<std::size_t> kind_number = KindOf(*machine);
+    if (!kind_number) continue;
+    const KindInfo& kind = state_.kinds.all()[*kind_number];
     if (capacity_.by_kind.size() < state_.kinds.all().size())
       capacity_.by_kind.resize(state_.kinds.all().size());
-    ++capacity_.by_kind[*number].machines;
+    ++capacity_.by_kind[*kind_number].machines;
     round.is_time_dependent |= MayChangeWithTime(*machine, *kind.type);
     if (IsSchedulable(*machine)) AddMachine(round, *machine, kind, now);
   }
@@ -66,10 +66,10 @@
 
 void PlanBuilder::AddMachine(PlanningRound& round, Machine& machine, const KindInfo& kind,
                              Instant now) {
-  const std::optional<Instant> from = AvailableFrom(round, machine, *kind.type, now);
-  if (!from) return;
+  const std::optional<Instant> available_from = AvailableFrom(round, machine, *kind.type, now);
+  if (!available_from) return;
   PlannedMachine planned{&machine, *machine.kind,
-                         ResourceTimeline(FreeResources(machine, *kind.type), *from),
+                         ResourceTimeline(FreeResources(machine, *kind.type), *available_from),
                          machine.up && !machine.addr.empty(), !machine.tasks.empty()};
   const Resources without_services = AddTasks(round, planned, *kind.type, now);
   capacity_.by_kind[*machine.kind].without_services += without_services;
@@ -79,14 +79,14 @@
 
 std::optional<Instant> PlanBuilder::AvailableFrom(PlanningRound& round, const Machine& machine,
                                                   const MachineType& type, Instant now) const {
-  constexpr Seconds kMinBootTime{1};  // still to come
+  constexpr Seconds kMinRemainingBootTime{1};
   if (!machine.up) {
     const bool late = now - machine.created_at > state_.boot_times.LateAfter(machine.type, now);
     if (machine.tasks.empty() && late) return std::nullopt;
-    return std::max(now + kMinBootTime, machine.created_at + type.boot_time);
+    return std::max(now + kMinRemainingBootTime, machine.created_at + type.boot_time);
   }
-  const Seconds silence = now - machine.last_heartbeat;
-  if (silence > kMaxSilence * state_.options.heartbeat_interval || machine.suspected)
+  const Seconds heartbeat_age = now - machine.last_heartbeat;
+  if (heartbeat_age > kMaxMissedIntervals * state_.options.heartbeat_interval || machine.suspected)
     return std::nullopt;
   const FailureAttribution& failures = state_.failure_attribution;
   if (!failures.quiet() && now < failures.SuspectedUntil(machine.id)) {
@@ -111,7 +111,7 @@
       busy = busy + spec.per_task.cpus * (end - now);
       round.lowest_array_priority = std::min(round.lowest_array_priority, spec.priority);
     } else if (job.cancelled) {
-      planned.timeline.AddRelease(now + kStopTime, spec.per_task);
+      planned.timeline.AddRelease(now + kStopDuration, spec.per_task);
     }
     if (spec.kind == JobKind::kService) without_services -= spec.per_task;
   }
--- a/src/scheduling/plan_builder.h
+++ b/src/scheduling/plan_builder.h
@@ -1,4 +1,4 @@
-// Starts the plan of a round from the machines as they are.
+// Builds the initial plan of a round from the current machines and their tasks.
 #pragma once
 
 #include <array>
@@ -14,38 +14,40 @@
 
 namespace magpie {
 
-// Whether new tasks may be placed on the machine, for all that is known of its state; it may still
-// be booting or silent.
+// Whether the machine's known state permits placing new tasks on it. It may still be booting or may
+// have missed heartbeats.
 bool IsSchedulable(const Machine& machine);
 
-// Policy: only machines that may be counted on are planned with. Silent or suspected ones are left
-// out, and so are machines that are late to come up, in whose place others are provisioned.
+// Policy: the plan contains only machines that are likely to be usable. Machines without recent
+// heartbeats and suspected machines are left out, and so are machines that boot late, in place of
+// which others are provisioned.
 class PlanBuilder {
  public:
-  // Both must outlive this object; `capacity` is replaced by what the round finds.
+  // Both must outlive this object. AddMachines overwrites `capacity`.
   PlanBuilder(ClusterState& state, ClusterCapacity& capacity)
       : state_(state), capacity_(capacity) {}
 
-  // Adds the machines and their present tasks to the round.
+  // Adds the machines and their current tasks to the round.
   void AddMachines(PlanningRound& round, Instant now);
 
  private:
-  // The number of the machine's kind; none if the type is unknown or is not offered any more.
+  // The machine's kind number; nullopt if its type is unknown or no longer offered.
   std::optional<std::size_t> KindOf(Machine& machine);
   void AddMachine(PlanningRound& round, Machine& machine, const KindInfo& kind, Instant now);
-  // When the machine can start tasks; none if it should not be counted on. A machine that may be
-  // faulty for some time makes the round time-dependent.
+  // When the machine can start tasks; nullopt if it is left out of the plan. A machine that is
+  // suspected for a limited time makes the round time-dependent.
   std::optional<Instant> AvailableFrom(PlanningRound& round, const Machine& machine,
                                        const MachineType& type, Instant now) const;
-  // Enters the tasks that hold resources into the timeline, and returns what services leave of the
-  // machine to arrays.
+  // Adds the expected ends of the tasks that hold resources to the timeline. Returns the capacity
+  // of the machine that services leave to arrays.
   Resources AddTasks(PlanningRound& round, PlannedMachine& planned, const MachineType& type,
                      Instant now);
 
   ClusterState& state_;
   ClusterCapacity& capacity_;
-  Resources without_services_;                           // of all machines
-  std::array<Seconds, kPriorityCount> busy_cpu_time_{};  // CPUs times time, by priority
+  Resources without_services_;  // of all planned machines
+  std::array<Seconds, kPriorityCount>
+      busy_cpu_time_{};  // remaining CPU time of running arrays, by priority
 };
 
 }  // namespace magpie
--- a/src/scheduling/planner.cc
+++ b/src/scheduling/planner.cc
@@ -6,7 +6,7 @@
 namespace magpie {
 namespace {
 
-// The least that any of the waiting tasks needs, resource by resource.
+// The least that any waiting task needs, separately for each resource.
 Resources SmallestDemand(const std::vector<QueuedJob>& jobs) {
   if (jobs.empty()) return {};
   Resources smallest = jobs.front().job->spec.per_task;
@@ -35,14 +35,14 @@
 PlanningResult Planner::Plan(const ScaleOutStatus& scale_out, Instant now, WallTime wall) {
   if (state_.autoscaler.types().empty()) return {};
   const OrderedJobs ordered = ordering_.Order(now, wall);
-  if (ordered.jobs.empty() && !IsRoundDue(now)) return {};
+  if (ordered.jobs.empty() && !NeedsFullRound(now)) return {};
   PlanningRound round = StartRound(ordered.jobs, scale_out.allowed, now);
   const bool headroom_reserved = PlaceJobs(round, ordered, now);
   if (!round.is_full) return {};
   if (!headroom_reserved) headroom_.ReserveForServices(round, now);
   is_time_dependent_ = round.is_time_dependent;
-  headroom_.KeepSpotMachines(round, now);
-  // While machines are on their way, it is not known yet which ones are not needed.
+  headroom_.ReserveSpotMachines(round, now);
+  // While machines are being provisioned, it is not known yet which ones are not needed.
   if (!scale_out.pending && round.scale_outs.empty()) Consolidate(round.plan, now);
   PlanningResult result;
   result.planned_scale_out = round.may_scale_out;
@@ -51,7 +51,7 @@
   return result;
 }
 
-bool Planner::IsRoundDue(Instant now) const {
+bool Planner::NeedsFullRound(Instant now) const {
   return now >= next_full_round_ && (state_.signals.changed_since_plan || is_time_dependent_);
 }
 
@@ -59,7 +59,7 @@
                                   Instant now) {
   constexpr Seconds kFullRoundInterval{1};
   PlanningRound round(SmallestDemand(jobs));
-  round.usage = round.near_usage = state_.quotas.usage();
+  round.usage = round.near_term_usage = state_.quotas.usage();
   round.may_scale_out = may_scale_out;
   round.is_full = may_scale_out || now >= next_full_round_;
   if (round.is_full) {
@@ -75,7 +75,7 @@
   return round;
 }
 
-// What machines are provisioned by: the boots seen lately, and the machines waited for.
+// Updates the expected boot times by recent boots and by the machines that are still booting.
 void Planner::UpdateBootTimes(Instant now) {
   for (const HeartbeatIndex::Member* member : state_.machines.heartbeats().watched()) {
     const Machine& machine = static_cast<const Machine&>(*member);
@@ -87,8 +87,8 @@
 }
 
 bool Planner::PlaceJobs(PlanningRound& round, const OrderedJobs& ordered, Instant now) {
-  constexpr int kMaxTasks = 4000;  // considered in one round
-  int budget = kMaxTasks;
+  constexpr int kMaxTasksPerRound = 4000;
+  int budget = kMaxTasksPerRound;
   bool headroom_reserved = false;
   for (const QueuedJob& queued : ordered.jobs) {
     const Job& job = *queued.job;
@@ -97,11 +97,11 @@
       headroom_reserved = true;
     }
     if (now < job.not_before || job.reload_pending) continue;
-    // Between two full rounds, what can neither start now nor preempt waits.
-    if (!round.is_full && !round.plan.HasOpenMachine() &&
+    // Between two full rounds, jobs that can neither start now nor preempt are skipped.
+    if (!round.is_full && !round.plan.HasAvailableMachine() &&
         job.spec.priority <= round.lowest_array_priority)
       continue;
-    placer_.Place(round, queued, ordered.no_preemption_up_to, now, budget);
+    placer_.Place(round, queued, ordered.max_non_preempting_priority, now, budget);
   }
   return headroom_reserved;
 }
@@ -113,7 +113,7 @@
   for (Machine* machine : consolidation.to_drain) {
     machine->draining = true;
     state_.machines.heartbeats().Watch(*machine);
-    state_.decisions.Add("drain " + machine->id.value);
+    state_.decisions.Add("drain machine=" + machine->id.value);
     for (const HeldTask& held : machine->tasks)
       lifecycle_.StopTask(held, held.job->spec.save_duration + kSaveMargin);
     state_.commands.Request(*machine);
@@ -127,7 +127,7 @@
     Machine* machine = planned.machine;
     if (machine == nullptr || planned.needed || !machine->up || !machine->tasks.empty()) continue;
     if (now - machine->idle_since > options.idle_timeout &&
-        now - machine->created_at > options.min_age &&
+        now - machine->created_at > options.min_billed_time &&
         now - state_.term.loaded_at > options.idle_timeout)
       idle.push_back(machine);
   }
--- a/src/scheduling/planner.h
+++ b/src/scheduling/planner.h
@@ -1,5 +1,5 @@
-// Runs the planning rounds: which tasks go where, and which machines are provisioned, drained and
-// released.
+// Runs the planning rounds, which decide where tasks run and which machines are provisioned,
+// drained and released.
 #pragma once
 
 #include <cstdint>
@@ -20,27 +20,27 @@
 
 namespace magpie {
 
-// What the planner may do about the cloud in a round.
+// Whether the planner may request machines in a round.
 struct ScaleOutStatus {
   bool allowed = false;  // machines may be requested now
-  bool pending = false;  // an earlier request has no answer yet
+  bool pending = false;  // an earlier request is unanswered
 };
 
-// What a round decided about the cloud; the caller carries it out.
+// The decisions of a round about machines, for the caller to carry out.
 struct PlanningResult {
-  // The round has planned to the end what to request, even if that is nothing.
+  // The round has completely planned which machines to request, possibly none.
   bool planned_scale_out = false;
   std::map<MachineKind, std::uint32_t> scale_outs;  // how many machines of each kind to request
   std::vector<Machine*> releases;
 };
 
-// Policy: jobs are planned one after the other, in the order of JobOrdering, on a plan that holds
-// the reservations of all jobs before. Headroom for services comes after production work and before
-// all other. A full round plans all jobs to the end and then deals with the machines that were not
-// needed; the rounds in between only start what can start at once.
+// Policy: jobs are planned one after another, in the order of JobOrdering, on a plan that contains
+// the reservations of all earlier jobs. Headroom for services is reserved after production jobs and
+// before all others. A full round plans all jobs and then handles the machines that are not needed;
+// the rounds in between only start tasks that can start at once.
 //
-// Bindings, preemptions and drains are applied to the state while the round is planned, since later
-// decisions of the round build on them.
+// Bindings, preemptions and drains are applied to the state during planning, since later decisions
+// of the round depend on them.
 class Planner {
  public:
   // Both must outlive the planner.
@@ -53,18 +53,18 @@
         headroom_(state),
         consolidator_(state) {}
 
-  // Forgets what was found in the last term of leadership.
+  // Discards the results of the last term of leadership.
   void Clear();
-  // A job arrived, with this many tasks that count for the rate of arrivals.
+  // Records the arrival of a job. `tasks`: how many of its tasks count for the arrival rate.
   void RecordArrival(Job& job, std::uint32_t tasks, Instant now);
-  // Plans one round. With nothing waiting it does so only if the result could differ from the last.
+  // Plans one round. Without waiting jobs it does so only if the result could differ from the last.
   PlanningResult Plan(const ScaleOutStatus& scale_out, Instant now, WallTime wall);
 
  private:
-  bool IsRoundDue(Instant now) const;
+  bool NeedsFullRound(Instant now) const;
   PlanningRound StartRound(const std::vector<QueuedJob>& jobs, bool may_scale_out, Instant now);
   void UpdateBootTimes(Instant now);
-  // Returns whether the headroom for services was reserved on the way.
+  // Returns whether the headroom for services was reserved before a non-production job.
   bool PlaceJobs(PlanningRound& round, const OrderedJobs& ordered, Instant now);
   void Consolidate(const PlacementPlan& plan, Instant now);
   std::vector<Machine*> IdleMachines(const PlacementPlan& plan, Instant now) const;
@@ -78,7 +78,7 @@
   HeadroomPlanner headroom_;
   Consolidator consolidator_;
   Instant next_full_round_;
-  // Another full round could decide otherwise by time alone.
+  // Another full round could decide differently only because time has passed.
   bool is_time_dependent_ = true;
 };
 
--- a/src/scheduling/preemption_planner.cc
+++ b/src/scheduling/preemption_planner.cc
@@ -8,26 +8,27 @@
 namespace magpie {
 namespace {
 
-constexpr Seconds kVictimsLeave{3};          // how long victims take to leave, at most as a rule
-constexpr double kMaxLoss = 1;               // in run times of the preempting task
-constexpr std::size_t kMaxPreemptions = 16;  // for one job at a time
+constexpr Seconds kVictimStopTime{3};  // victims usually stop within this time
+constexpr double kMaxLossRatio = 1;    // lost CPU time per CPU time of the preempting task
+constexpr std::size_t kMaxPreemptionsPerPlan = 16;  // for one job at a time
 
-// What is lost of a task when it is stopped, in seconds.
+// The run time, in seconds, that is lost when the task is stopped.
 double LostRunTime(const JobSpec& spec, const Task& task, Instant now) {
   if (!task.running) return 0;
-  const bool saves_its_work = spec.checkpoint_interval.value > 0;
-  return saves_its_work ? spec.save_duration.value : (now - task.since).value;
+  const bool saves_checkpoint = spec.checkpoint_interval.value > 0;
+  return saves_checkpoint ? spec.save_duration.value : (now - task.since).value;
 }
 
 }  // namespace
 
 std::vector<Preemption> PreemptionPlanner::Plan(const PlanningRound& round, Job& job,
-                                                std::optional<Priority> no_preemption_up_to,
+                                                std::optional<Priority> max_non_preempting_priority,
                                                 Instant now) const {
   if (job.spec.priority <= round.lowest_array_priority || now < job.preempt_after) return {};
   const bool is_array = job.spec.kind == JobKind::kArray;
-  if (is_array && no_preemption_up_to && job.spec.priority <= *no_preemption_up_to) return {};
-  job.preempt_after = now + kVictimsLeave;
+  if (is_array && max_non_preempting_priority && job.spec.priority <= *max_non_preempting_priority)
+    return {};
+  job.preempt_after = now + kVictimStopTime;
   std::vector<Preemption> preemptions;
   for (const PlannedMachine& planned : round.plan.machines()) {
     if (!IsAllowedOn(planned, job)) continue;
@@ -37,16 +38,16 @@
   std::sort(preemptions.begin(), preemptions.end(), [](const Preemption& a, const Preemption& b) {
     return a.lost_cpu_time < b.lost_cpu_time;
   });
-  return SparingGuarantees(preemptions, std::min(job.pending.size(), kMaxPreemptions));
+  return WithoutGuaranteedWork(preemptions, std::min(job.pending.size(), kMaxPreemptionsPerPlan));
 }
 
 bool PreemptionPlanner::IsAllowedOn(const PlannedMachine& planned, const Job& job) const {
   const Machine* machine = planned.machine;
-  // Commands may not reach a worker whose heartbeats come through another controller.
+  // Commands might not reach a worker whose heartbeats are relayed by another controller.
   if (!planned.available_now || machine == nullptr || machine->relayed || machine->arrays == 0)
     return false;
   const KindInfo& kind = state_.kinds.all()[planned.kind];
-  if (!KindAllows(job.spec, kind) || !IsZoneAllowed(job, kind.kind.zone)) return false;
+  if (!CanRunOnKind(job.spec, kind) || !IsZoneAllowed(job, kind.kind.zone)) return false;
   return job.spec.kind != JobKind::kService || HasImage(*machine, job.image);
 }
 
@@ -86,13 +87,14 @@
     preemption.victims.push_back(candidate.task);
   }
   if (preemption.victims.empty() || !demand.Fits(free)) return std::nullopt;
-  const double worth = state_.run_times.ExpectedOnKind(job, planned.kind).value * demand.cpus;
-  if (job.spec.kind == JobKind::kArray && preemption.lost_cpu_time > kMaxLoss * worth)
+  const double own_cpu_time =
+      state_.run_times.ExpectedOnKind(job, planned.kind).value * demand.cpus;
+  if (job.spec.kind == JobKind::kArray && preemption.lost_cpu_time > kMaxLossRatio * own_cpu_time)
     return std::nullopt;
   return preemption;
 }
 
-std::vector<Preemption> PreemptionPlanner::SparingGuarantees(
+std::vector<Preemption> PreemptionPlanner::WithoutGuaranteedWork(
     const std::vector<Preemption>& preemptions, std::size_t max_count) const {
   std::vector<Preemption> chosen;
   TeamUsage usage = state_.quotas.usage();
--- a/src/scheduling/preemption_planner.h
+++ b/src/scheduling/preemption_planner.h
@@ -1,4 +1,4 @@
-// Chooses the running arrays that are preempted for a job that would be late otherwise.
+// Selects running array tasks to preempt for a job that would otherwise be late.
 #pragma once
 
 #include <optional>
@@ -13,27 +13,28 @@
 
 namespace magpie {
 
-// The tasks to stop on one machine, so that a task of the preempting job fits there.
+// The tasks to stop on one machine so that a task of the preempting job fits on it.
 struct Preemption {
-  double lost_cpu_time = 0;  // CPUs times the run time, in seconds, that the victims lose
+  double lost_cpu_time = 0;  // lost run time of the victims, in seconds times CPUs
   Machine* machine = nullptr;
   std::vector<HeldTask> victims;
 };
 
 // Policy: only arrays of lower priority and lower rank are preempted, on the machines where the
-// least run time is lost. An array preempts nothing whose loss is more than its own run time is
-// worth. Work within its team's guarantee is spared: once stopped it would come first again, and
-// the capacity would go back and forth.
+// least run time is lost. An array does not preempt tasks if that loses more CPU time than its own
+// task takes. Tasks within their team's guarantee are not preempted: once stopped they would be
+// planned first again, and the capacity would alternate between both jobs.
 class PreemptionPlanner {
  public:
   // `state` must outlive this object.
   explicit PreemptionPlanner(const ClusterState& state) : state_(state) {}
 
-  // The preemptions to carry out for the job's waiting tasks, at most one for each. After that the
-  // job gets none for as long as victims take to leave. Arrays of priority `no_preemption_up_to`
-  // and below preempt nothing.
+  // Returns the preemptions for the job's waiting tasks, at most one for each. The job then gets no
+  // further ones until the victims should have stopped. Arrays of priority
+  // `max_non_preempting_priority` and below get none.
   std::vector<Preemption> Plan(const PlanningRound& round, Job& job,
-                               std::optional<Priority> no_preemption_up_to, Instant now) const;
+                               std::optional<Priority> max_non_preempting_priority,
+                               Instant now) const;
 
  private:
   struct Candidate {
@@ -43,14 +44,15 @@
 
   bool MayBePreempted(const HeldTask& held, const Job& job) const;
   bool IsAllowedOn(const PlannedMachine& planned, const Job& job) const;
-  // The tasks that may be preempted on the machine, the least loss first.
+  // The tasks that may be preempted on the machine, least loss first.
   std::vector<Candidate> CandidatesOn(const Machine& machine, const Job& job, Instant now) const;
-  // The preemption that makes room for one task on the machine, if there is one that is worth it.
+  // The preemption that frees capacity for one task on the machine; nullopt if it is impossible or
+  // loses too much.
   std::optional<Preemption> PreemptionOn(const PlannedMachine& planned, const Job& job,
                                          Instant now) const;
-  // The first of them that spare guaranteed work, at most so many.
-  std::vector<Preemption> SparingGuarantees(const std::vector<Preemption>& preemptions,
-                                            std::size_t max_count) const;
+  // The first of `preemptions` that stop no guaranteed task, at most `max_count`.
+  std::vector<Preemption> WithoutGuaranteedWork(const std::vector<Preemption>& preemptions,
+                                                std::size_t max_count) const;
 
   const ClusterState& state_;
 };
--- a/src/scheduling/probe_scheduler.cc
+++ b/src/scheduling/probe_scheduler.cc
@@ -8,10 +8,10 @@
 namespace magpie {
 namespace {
 constexpr Seconds kScanInterval{0.25};
-constexpr Seconds kProbeInterval{2};  // between two of one machine
-constexpr std::size_t kMaxAtOnce = 12;
-constexpr std::size_t kMaxAtOnceInAlarm = 96;
-constexpr std::size_t kMaxLooksPerScan = 1024;  // those heard least lately come first
+constexpr Seconds kProbeInterval{2};    // between two probes of one machine
+constexpr std::size_t kMaxProbes = 12;  // in one scan
+constexpr std::size_t kMaxProbesDuringAlarm = 96;
+constexpr std::size_t kMaxInspectedPerScan = 1024;  // machines with the oldest heartbeats first
 }  // namespace
 
 void ProbeScheduler::Clear() {
@@ -19,68 +19,70 @@
   next_scan_ = {};
 }
 
-bool ProbeScheduler::IsDue(const Machine& machine, Instant now) const {
-  constexpr std::uint32_t kOutOfOrder = 2;  // messages, before a worker is asked
+bool ProbeScheduler::NeedsProbe(const Machine& machine, Instant now) const {
+  constexpr std::uint32_t kMinOutOfOrderMessages = 2;  // after so many, the worker is probed
   if (machine.addr.empty() || machine.command_in_flight || machine.releasing ||
       now < machine.next_probe_at)
     return false;
-  // Its token is behind: it may be reporting to an earlier leader.
+  // With an outdated token, the worker may still report to an earlier leader.
   if (machine.up && (machine.seen_token < machine.fencing_token || machine.relayed ||
-                     machine.out_of_order_messages >= kOutOfOrder))
+                     machine.out_of_order_messages >= kMinOutOfOrderMessages))
     return true;
   // A machine that is still booting will report by itself.
   if (!machine.up) return machine.listed_running || !machine.tasks.empty();
-  return now - machine.last_heartbeat > ProbeAfter(now);
+  return now - machine.last_heartbeat > ProbeDelay(now);
 }
 
-// How long a machine may be silent before it is probed.
-Seconds ProbeScheduler::ProbeAfter(Instant now) const {
-  constexpr double kLateIntervals = 1.3;  // workers vary the interval by a quarter
-  constexpr Seconds kMargin{0.3};         // for the network and the controllers
-  constexpr Seconds kMaxInAlarm{4};
-  const Seconds late = kLateIntervals * state_.options.heartbeat_interval + kMargin;
-  return alarm_.IsOn(now) ? std::min(late, kMaxInAlarm) : late;
+// How long after its last heartbeat a machine is probed.
+Seconds ProbeScheduler::ProbeDelay(Instant now) const {
+  constexpr double kLateIntervals = 1.3;  // workers vary the interval by up to 25 %
+  constexpr Seconds kMargin{0.3};         // for delays in the network and in controllers
+  constexpr Seconds kMaxDelayDuringAlarm{4};
+  const Seconds probe_delay = kLateIntervals * state_.options.heartbeat_interval + kMargin;
+  return alarm_.IsOn(now) ? std::min(probe_delay, kMaxDelayDuringAlarm) : probe_delay;
 }
 
 std::size_t ProbeScheduler::Scan(Instant now) {
   if (!state_.term.loaded) return 0;
   if (!queue_.empty() || now < next_scan_) return queue_.size();
   next_scan_ = now + kScanInterval;
-  const std::size_t max_at_once = alarm_.IsOn(now) ? kMaxAtOnceInAlarm : kMaxAtOnce;
-  std::vector<Due> due = FindDue(max_at_once, now);
-  std::sort(due.begin(), due.end());
-  due.erase(std::unique(due.begin(), due.end()), due.end());
-  if (due.size() > max_at_once) due.resize(max_at_once);
-  for (const Due& entry : due) queue_.push_back(entry.machine);
+  const std::size_t max_probes = alarm_.IsOn(now) ? kMaxProbesDuringAlarm : kMaxProbes;
+  std::vector<ProbeCandidate> candidates = FindCandidates(max_probes, now);
+  std::sort(candidates.begin(), candidates.end());
+  candidates.erase(std::unique(candidates.begin(), candidates.end()), candidates.end());
+  if (candidates.size() > max_probes) candidates.resize(max_probes);
+  for (const ProbeCandidate& entry : candidates) queue_.push_back(entry.machine);
   return queue_.size();
 }
 
-// Machines that are due, some of them twice. The search ends after `max_loaded` with tasks.
-std::vector<ProbeScheduler::Due> ProbeScheduler::FindDue(std::size_t max_loaded, Instant now) {
+// Machines to probe, possibly with duplicates. The search stops at `max_with_tasks` machines with
+// tasks.
+std::vector<ProbeScheduler::ProbeCandidate> ProbeScheduler::FindCandidates(
+    std::size_t max_with_tasks, Instant now) {
   const HeartbeatIndex& heartbeats = state_.machines.heartbeats();
-  const Seconds minimum = ProbeAfter(now);
-  std::vector<Due> due;
+  const Seconds probe_delay = ProbeDelay(now);
+  std::vector<ProbeCandidate> candidates;
   for (const HeartbeatIndex::Member* member : heartbeats.watched()) {
     const Machine& machine = static_cast<const Machine&>(*member);
-    if (IsDue(machine, now))
-      due.push_back({machine.tasks.empty(), machine.last_heartbeat, machine.id});
+    if (NeedsProbe(machine, now))
+      candidates.push_back({machine.tasks.empty(), machine.last_heartbeat, machine.id});
   }
-  std::size_t loaded = 0;
-  std::size_t looks = 0;
-  // Returns false when there are enough, or when those that follow were heard too lately.
-  const auto look = [&](const HeartbeatIndex::Member* member) {
+  std::size_t with_tasks = 0;
+  std::size_t inspected = 0;
+  // Returns false once there are enough, or if the next machines have recent heartbeats.
+  const auto inspect = [&](const HeartbeatIndex::Member* member) {
     const Machine& machine = static_cast<const Machine&>(*member);
-    if (now - machine.last_heartbeat < minimum) return false;
+    if (now - machine.last_heartbeat < probe_delay) return false;
     ++state_.counters.machines_inspected;
-    if (IsDue(machine, now)) {
-      due.push_back({machine.tasks.empty(), machine.last_heartbeat, machine.id});
-      loaded += machine.tasks.empty() ? 0 : 1;
+    if (NeedsProbe(machine, now)) {
+      candidates.push_back({machine.tasks.empty(), machine.last_heartbeat, machine.id});
+      with_tasks += machine.tasks.empty() ? 0 : 1;
     }
-    return loaded < max_loaded && ++looks < kMaxLooksPerScan;
+    return with_tasks < max_with_tasks && ++inspected < kMaxInspectedPerScan;
   };
-  if (std::all_of(heartbeats.late().begin(), heartbeats.late().end(), look))
-    (void)std::all_of(heartbeats.fresh().begin(), heartbeats.fresh().end(), look);
-  return due;
+  if (std::all_of(heartbeats.late().begin(), heartbeats.late().end(), inspect))
+    (void)std::all_of(heartbeats.fresh().begin(), heartbeats.fresh().end(), inspect);
+  return candidates;
 }
 
 std::optional<DirectCommand> ProbeScheduler::Next(Instant now) {
@@ -88,7 +90,7 @@
   while (!queue_.empty()) {
     Machine* machine = state_.machines.Find(queue_.front());
     queue_.pop_front();
-    if (machine == nullptr || !IsDue(*machine, now)) continue;
+    if (machine == nullptr || !NeedsProbe(*machine, now)) continue;
     machine->command_in_flight = true;
     machine->next_probe_at = now + kProbeInterval;
     DirectCommand probe = MakeDirectCommand(*machine, {});
--- a/src/scheduling/probe_scheduler.h
+++ b/src/scheduling/probe_scheduler.h
@@ -1,8 +1,8 @@
-// Probes: empty direct commands to machines that were not heard for a while.
+// Schedules probes: empty direct commands to machines without recent heartbeats.
 //
-// A probe brings the leader's token to a worker that still reports to an earlier leader, and its
-// heartbeat to this one. At most a few are on their way at once: after a takeover most workers
-// report by themselves meanwhile.
+// A probe delivers the leader's token to a worker that still reports to an earlier leader, and its
+// answer delivers the worker's heartbeat to this leader. Only a few probes are in flight at once,
+// since most workers report by themselves soon after a takeover.
 #pragma once
 
 #include <cstddef>
@@ -26,24 +26,25 @@
       : state_(state), alarm_(alarm) {}
 
   void Clear();
-  // Looks for machines to probe if it is time; returns how many wait for a probe.
+  // Looks for machines to probe once the scan interval has passed; returns how many are queued.
   std::size_t Scan(Instant now);
   std::optional<DirectCommand> Next(Instant now);
-  // Probes the machine again, before all others.
+  // Probes the machine again, before all other machines.
   void ProbeNow(Machine& machine, Instant now);
 
  private:
-  // A machine to be probed. Machines with tasks come first, then those heard least lately; then by
-  // name, not by address, since the same events must lead to the same decisions.
-  struct Due {
+  // A machine to probe. Machines with tasks come first, then those with the oldest heartbeats. Ties
+  // are broken by name and not by memory address, since the same events must lead to the same
+  // decisions.
+  struct ProbeCandidate {
     bool idle = false;
     Instant last_heartbeat;
     MachineId machine;
-    auto operator<=>(const Due&) const = default;
+    auto operator<=>(const ProbeCandidate&) const = default;
   };
-  std::vector<Due> FindDue(std::size_t max_loaded, Instant now);
-  bool IsDue(const Machine& machine, Instant now) const;
-  Seconds ProbeAfter(Instant now) const;
+  std::vector<ProbeCandidate> FindCandidates(std::size_t max_with_tasks, Instant now);
+  bool NeedsProbe(const Machine& machine, Instant now) const;
+  Seconds ProbeDelay(Instant now) const;
 
   ClusterState& state_;
   const MassFailureAlarm& alarm_;
--- a/src/scheduling/queued_job.h
+++ b/src/scheduling/queued_job.h
@@ -1,4 +1,4 @@
-// A job with tasks to be placed, as the planner orders jobs.
+// Jobs with tasks to place, as the planner orders them.
 #pragma once
 
 #include <cstdint>
@@ -13,22 +13,21 @@
 
 namespace magpie {
 
-// When a job's present tasks should be done. Times are from now.
+// When a job's current tasks should be done, relative to now.
 struct DueTimes {
   Seconds target;               // the tightest target that has not passed
-  Seconds provisioning_target;  // the same without the guarantee, which no boot could meet
-  std::vector<Seconds>
-      targets;                // those that have not passed, the tightest first; none of a service
-  Seconds run_time;           // predicted, of one task on the largest machine type
-  bool long_overdue = false;  // by so much that the job is not deferred any longer
+  Seconds provisioning_target;  // without the guarantee, which a machine that must boot cannot meet
+  std::vector<Seconds> targets;  // those that have not passed, tightest first; empty for services
+  Seconds run_time;              // predicted run time of one task on the largest machine type
+  bool long_overdue = false;     // so late that the job is no longer deferred
 };
 
-// The order of jobs before their targets count: lower ranks are planned first.
+// The order of jobs before their targets are compared: lower ranks are planned first.
 struct JobRank {
-  // 0: production and jobs that lie within their team's guarantee as a whole; 1: jobs whose next
-  // task the guarantee still covers; 2: all others.
+  // 0: production jobs and jobs that lie entirely within their team's guarantee; 1: jobs whose next
+  // task is within the guarantee; 2: all others.
   int tier = 0;
-  int within_tier = 0;  // the negative priority
+  int within_tier = 0;  // negated priority
   auto operator<=>(const JobRank&) const = default;
 };
 
@@ -38,17 +37,18 @@
   Job* job = nullptr;
   DueTimes due;
   JobRank rank;
-  bool deferred = false;  // meets no target along with the other jobs
-  // How many of its tasks may be started: fewer while the job itself may be faulty.
+  bool deferred = false;  // cannot meet any target together with the other jobs
+  // How many of its tasks may be started; limited while the job itself may be faulty.
   std::uint32_t max_tasks = FailureAttribution::kUnlimited;
-  Seconds sort_key;  // among jobs of a rank: the target, or the work that is left if deferred
+  Seconds sort_key;  // within a rank: the target, or the remaining work of a deferred job
 };
 
-// All jobs with tasks to be placed, in the order in which they are planned.
+// All jobs with tasks to place, in planning order.
 struct OrderedJobs {
   std::vector<QueuedJob> jobs;
-  // Arrays of this priority and below preempt nothing: lower ones have no more than their floor.
-  std::optional<Priority> no_preemption_up_to;
+  // Arrays of this priority and below preempt nothing, since lower-priority arrays hold little more
+  // than their floor.
+  std::optional<Priority> max_non_preempting_priority;
 };
 
 }  // namespace magpie
--- a/src/scheduling/resource_timeline.cc
+++ b/src/scheduling/resource_timeline.cc
@@ -23,7 +23,7 @@
 
 void ResourceTimeline::Reserve(Instant start, const Resources& demand, std::optional<Instant> end) {
   if (!demand.Fits(free_)) {
-    // The task waits: what is released until it starts is kept for it.
+    // The task waits, so everything released until its start is reserved for it.
     auto release = releases_.begin();
     for (; release != releases_.end() && !demand.Fits(free_); ++release) free_ += release->released;
     releases_.erase(releases_.begin(), release);
--- a/src/scheduling/resource_timeline.h
+++ b/src/scheduling/resource_timeline.h
@@ -1,4 +1,4 @@
-// The predicted free resources of one machine over time, as a planning round sees them.
+// Predicts the free resources of one machine over time, for one planning round.
 #pragma once
 
 #include <optional>
@@ -9,23 +9,25 @@
 
 namespace magpie {
 
-// What a machine has free now, and the predicted releases that will free more of it.
+// The resources of a machine that are free now, and the predicted releases of further resources.
 //
-// A reservation for a later start takes what is free now and every release up to that start out of
-// the timeline at once. Tasks planned later therefore can't delay one that already waits.
+// A reservation for a later start removes the resources that are free now, and every release up to
+// that start, from the timeline at once. Tasks planned later therefore cannot delay the waiting
+// task.
 class ResourceTimeline {
  public:
   // Nothing can start on the machine before `available_from` (it may still be booting).
   ResourceTimeline(Resources free, Instant available_from)
       : free_(free), available_from_(available_from) {}
 
-  // A task on the machine is expected to end, and to release `released`, at `at`.
+  // Adds a task's expected end at `at`, which frees `released`.
   void AddRelease(Instant at, const Resources& released);
-  // When a task with this demand could start; nullopt if no known release makes room for it.
+  // When a task with this demand could start; nullopt if the known releases do not free enough.
   std::optional<Instant> EarliestFit(const Resources& demand) const;
-  // Takes `demand` from `start`, which EarliestFit() returned, until `end`; for good without one.
+  // Reserves `demand` from `start`, which EarliestFit() returned, until `end`; without one,
+  // forever.
   void Reserve(Instant start, const Resources& demand, std::optional<Instant> end);
-  // What is neither in use nor reserved.
+  // Resources that are neither in use nor reserved.
   const Resources& free() const { return free_; }
 
  private:
--- a/src/scheduling/run_time_estimator.cc
+++ b/src/scheduling/run_time_estimator.cc
@@ -11,14 +11,14 @@
   return table_.ExpectedRunTime(spec, type);
 }
 
-// Plans ask for every task on every machine, so the table is asked once for each version of it.
+// Called for every task on every machine, so the result is cached for each version of the table.
 Seconds RunTimeEstimator::ExpectedOnKind(const Job& job, std::size_t kind) const {
-  constexpr double kUnknown = -1;
+  constexpr double kNotCached = -1;
   if (job.runs_version != table_.version()) {
-    job.runs.assign(kinds_.all().size(), kUnknown);
+    job.runs.assign(kinds_.all().size(), kNotCached);
     job.runs_version = table_.version();
   }
-  if (job.runs.size() <= kind) job.runs.resize(kinds_.all().size(), kUnknown);
+  if (job.runs.size() <= kind) job.runs.resize(kinds_.all().size(), kNotCached);
   double& run = job.runs[kind];
   if (run < 0) run = table_.ExpectedRunTime(job.spec, kinds_.all()[kind].kind.type).value;
   return {run};
@@ -31,7 +31,7 @@
 
 Instant RunTimeEstimator::ExpectedEnd(const Job& job, const Task& task, const Machine& machine,
                                       Instant now) const {
-  constexpr double kOverrunPart = 0.25;  // of the run time so far
+  constexpr double kOverrunFraction = 0.25;  // of the run time so far
   constexpr Seconds kMinRemaining{1};
   Seconds run = ExpectedOnMachine(job, machine);
   if (!task.running) {
@@ -41,15 +41,15 @@
       run = run + Seconds{job.spec.image_gb / type->fetch_gb_per_s};
   }
   const Instant end = task.since + run;
-  return end > now ? end : now + std::max(kMinRemaining, kOverrunPart * (now - task.since));
+  return end > now ? end : now + std::max(kMinRemaining, kOverrunFraction * (now - task.since));
 }
 
 void RunTimeEstimator::Learn(const Machine& machine, Job& job, Seconds took) {
   if (job.spec.estimate.value <= 0) return;
   table_.Learn(job.spec, machine.type, took);
-  job.pace.Add(PaceNumberOf(machine.id), took.value / job.spec.estimate.value);
+  job.pace.Add(PaceKeyOf(machine.id), took.value / job.spec.estimate.value);
 }
 
-std::size_t PaceNumberOf(const MachineId& id) { return std::hash<std::string>{}(id.value); }
+std::size_t PaceKeyOf(const MachineId& id) { return std::hash<std::string>{}(id.value); }
 
 }  // namespace magpie
--- a/src/scheduling/run_time_estimator.h
+++ b/src/scheduling/run_time_estimator.h
@@ -1,7 +1,7 @@
-// How long tasks are expected to run, on each kind of machine.
+// Estimates the run times of tasks on each kind of machine.
 //
-// Invariant: a job's cached run times (Job::runs) are those of the table's version that the job
-// names; they are asked for anew when the table has learned since.
+// Invariant: a job's cached run times (Job::runs) belong to the table version in Job::runs_version.
+// They are computed again after the table's version has changed.
 #pragma once
 
 #include <cstddef>
@@ -25,15 +25,15 @@
   RunTimeEstimator(const MachineKinds& kinds, const Autoscaler& autoscaler)
       : kinds_(kinds), autoscaler_(autoscaler) {}
 
-  // The expected run time of a task of the job, without its image fetch: on a type of machine, on
-  // a kind by number, and on a machine.
+  // The expected run time of a task of the job, without its image fetch, on a machine type, on a
+  // machine kind given by its number, or on a machine.
   Seconds ExpectedOnType(const JobSpec& spec, const std::string& type) const;
   Seconds ExpectedOnKind(const Job& job, std::size_t kind) const;
   Seconds ExpectedOnMachine(const Job& job, const Machine& machine) const;
-  // When the task is expected to end. One that takes longer than expected is taken to go on for a
-  // part of the time that it has run already.
+  // When the task is expected to end. A task that has exceeded its expected run time is expected to
+  // run on for a fraction of its run time so far.
   Instant ExpectedEnd(const Job& job, const Task& task, const Machine& machine, Instant now) const;
-  // A task of the job was completed on the machine after `took`.
+  // Learns the run time `took` of a task of the job that completed on the machine.
   void Learn(const Machine& machine, Job& job, Seconds took);
 
  private:
@@ -42,7 +42,7 @@
   RunTimeTable table_;
 };
 
-// A number that tells machines apart in a job's pace.
-std::size_t PaceNumberOf(const MachineId& id);
+// A number that identifies a machine in a JobPace.
+std::size_t PaceKeyOf(const MachineId& id);
 
 }  // namespace magpie
--- a/src/scheduling/run_time_table.cc
+++ b/src/scheduling/run_time_table.cc
@@ -6,12 +6,12 @@
 
 namespace magpie {
 namespace {
-constexpr std::size_t kMaxRatios = 32;
-constexpr std::size_t kMinRatios = 3;  // before they are used
+constexpr std::size_t kMaxSamples = 32;
+constexpr std::size_t kMinSamples = 3;  // needed before a median is used
 constexpr double kMinRatio = 0.1;
 constexpr double kMaxRatio = 10;
-constexpr double kMaxEstimateSeconds = 1e7;  // longer ones are nonsense
-constexpr std::size_t kMaxRatiosOfJob = 15;
+constexpr double kMaxEstimateSeconds = 1e7;  // longer estimates are implausible
+constexpr std::size_t kMaxSamplesPerJob = 15;
 
 double MedianOf(std::vector<double> values) {
   const auto middle = values.begin() + static_cast<std::ptrdiff_t>(values.size() / 2);
@@ -26,33 +26,33 @@
 
 void RunTimeTable::AddRatio(Ratios& ratios, double ratio) {
   ratios.latest.push_back(ratio);
-  if (ratios.latest.size() > kMaxRatios) ratios.latest.pop_front();
+  if (ratios.latest.size() > kMaxSamples) ratios.latest.pop_front();
   const double median = MedianOf({ratios.latest.begin(), ratios.latest.end()});
-  if (ratios.median != median || ratios.latest.size() == kMinRatios) ++version_;
+  if (ratios.median != median || ratios.latest.size() == kMinSamples) ++version_;
   ratios.median = median;
 }
 
 void JobPace::Add(std::size_t machine, double ratio) {
   if (!std::isfinite(ratio) || ratio <= 0) return;
   latest_.emplace_back(machine, std::clamp(ratio, kMinRatio, kMaxRatio));
-  if (latest_.size() > kMaxRatiosOfJob) latest_.erase(latest_.begin());
+  if (latest_.size() > kMaxSamplesPerJob) latest_.erase(latest_.begin());
 }
 
 std::optional<double> JobPace::MedianOnOtherMachines(std::size_t machine) const {
   std::vector<double> ratios;
-  for (const auto& [there, ratio] : latest_)
-    if (there != machine) ratios.push_back(ratio);
-  if (ratios.size() < kMinRatios) return std::nullopt;
+  for (const auto& [other_machine, ratio] : latest_)
+    if (other_machine != machine) ratios.push_back(ratio);
+  if (ratios.size() < kMinSamples) return std::nullopt;
   return MedianOf(std::move(ratios));
 }
 
 Seconds RunTimeTable::ExpectedRunTime(const JobSpec& spec, const std::string& type) const {
   const double estimate = std::min(spec.estimate.value, kMaxEstimateSeconds);
   auto cell = cells_.find({type, SizeOf(spec)});
-  if (cell != cells_.end() && cell->second.latest.size() >= kMinRatios)
+  if (cell != cells_.end() && cell->second.latest.size() >= kMinSamples)
     return {estimate * cell->second.median};
   auto of_class = by_class_.find(spec.job_class);
-  if (of_class != by_class_.end() && of_class->second.latest.size() >= kMinRatios)
+  if (of_class != by_class_.end() && of_class->second.latest.size() >= kMinSamples)
     return {estimate * of_class->second.median};
   return {estimate};
 }
--- a/src/scheduling/run_time_table.h
+++ b/src/scheduling/run_time_table.h
@@ -1,5 +1,5 @@
-// Expected run times, learned from tasks that were completed (the paper's profiled table, section
-// "Estimating DNN model execution time").
+// Expected run times, learned from completed tasks (the profiled table of the PARIS/ELSA paper,
+// section "Estimating DNN model execution time").
 #pragma once
 
 #include <cstdint>
@@ -15,38 +15,38 @@
 
 namespace magpie {
 
-// The run times of one job's tasks, as ratios to its estimate. The error of the estimate is the
-// same for all of them, so only a comparison with other machines shows whether a task that took
-// long says something of its machine.
+// The run times of one job's tasks, as ratios to its estimate. All of them share the error of the
+// estimate, so only a comparison with other machines shows whether a long run time is due to the
+// machine.
 class JobPace {
  public:
-  // `machine` is any number that tells machines apart. At most the latest few are kept.
+  // `machine` is any number that identifies the machine. Only the latest ratios are kept.
   void Add(std::size_t machine, double ratio);
-  // The median on other machines; none while too few are known.
+  // The median ratio on machines other than `machine`; nullopt while too few are known.
   std::optional<double> MedianOnOtherMachines(std::size_t machine) const;
 
  private:
   std::vector<std::pair<std::size_t, double>> latest_;
 };
 
-// Users' estimates are often wrong, and on some days all in the same way. The table keeps the ratio
-// of run time to estimate by machine type and size of task, and by class of job for sizes that are
-// not known yet. It is a median, which single nonsense values cannot move far.
+// Users' estimates are often wrong, and sometimes all in the same direction. The table keeps the
+// ratios of run time to estimate by machine type and task size, and by job class for sizes without
+// enough data. It uses their median, which single implausible values hardly change.
 class RunTimeTable {
  public:
-  // Expected run time of a task of this job on this machine type.
+  // The expected run time of a task of this job on this machine type.
   Seconds ExpectedRunTime(const JobSpec& spec, const std::string& type) const;
-  // A task completed after running for `took`.
+  // Adds the run time `took` of a completed task.
   void Learn(const JobSpec& spec, const std::string& type, Seconds took);
-  // Grows when an expected run time has changed.
+  // Increases when an expected run time has changed.
   std::uint64_t version() const { return version_; }
 
  private:
-  using Cell = std::pair<std::string, int>;  // machine type, size of task
+  using Cell = std::pair<std::string, int>;  // machine type, task size
   static int SizeOf(const JobSpec& spec);
   struct Ratios {
     std::deque<double> latest;
-    double median = 1;  // kept, since it is read far more often than changed
+    double median = 1;  // cached, since it is read far more often than changed
   };
   void AddRatio(Ratios& ratios, double ratio);
 
--- a/src/scheduling/scheduler_options.h
+++ b/src/scheduling/scheduler_options.h
@@ -1,4 +1,4 @@
-// Settings of the scheduler.
+// Options of the scheduler.
 #pragma once
 
 #include <cstddef>
@@ -21,31 +21,32 @@
 
   // --- Workers
   Seconds heartbeat_interval{3};
-  Seconds lease{30};              // a worker that no controller answers stops its tasks after this
-  Seconds cancel_deadline{60};    // no task of a cancelled job may run after this
-  Seconds heartbeat_timeout{12};  // a silent machine is given up after this
-  // Zones with a controller: it renews the workers' leases while the zone is partitioned.
+  Seconds lease{30};  // a worker without an answer from any controller stops its tasks after this
+  Seconds cancel_deadline{60};    // time after a cancellation by which no task of the job may run
+  Seconds heartbeat_timeout{12};  // a machine without heartbeats is released after this
+  // Zones with a controller, which renews the workers' leases while the zone is partitioned.
   std::set<std::string> zones_with_controller;
 
   // --- Durable records
   std::size_t max_operations = 16;  // in one write batch
   std::size_t max_bytes = 48UL * 1024;
   std::size_t max_page_bytes = 15UL * 1024;
-  double writes_per_s = 1e9;  // operations that the leader may use
+  double writes_per_s = 1e9;  // write operations per second that the leader may use
 
   // --- Placement and the cloud
   PlacementWeights weights;
-  Seconds list_lag{5};             // the cloud's list may be this old
-  Seconds list_interval{3};        // interval between two lists
-  Seconds idle_timeout{20};        // an idle machine is released after this
-  Seconds min_age{60};             // that the cloud charges for a machine
-  double boot_timeout_factor = 4;  // in boot times of the type, before a machine is given up
-  std::uint32_t headroom = 1;      // spare replicas of each class of services
-  Seconds headroom_duration{600};  // for which they are kept after the last arrival
-  Seconds spot_idle_timeout{90};   // idle spot machines are kept for recent classes
-  Seconds min_replica_age{30};     // younger replicas are not moved
-
-  bool log_decisions = false;  // keep notes of decisions, for the log
+  Seconds list_lag{5};          // maximum age of the cloud's machine list
+  Seconds list_interval{3};     // interval of reading the cloud's machine list
+  Seconds idle_timeout{20};     // an idle machine is released after this
+  Seconds min_billed_time{60};  // minimum time that the cloud charges for a machine
+  double boot_timeout_factor =
+      4;  // maximum boot time, in expected boot times of the type, before a machine is released
+  std::uint32_t headroom = 1;      // spare replicas of each recent service image
+  Seconds headroom_duration{600};  // how long they are kept after the last arrival
+  Seconds spot_idle_timeout{90};   // how long idle spot machines are kept for recent array classes
+  Seconds min_replica_age{30};     // replicas that have run for less are not moved
+
+  bool log_decisions = false;  // record decisions for the log
 };
 
 }  // namespace magpie
--- a/src/scheduling/slow_machine_detector.cc
+++ b/src/scheduling/slow_machine_detector.cc
@@ -4,46 +4,50 @@
 
 namespace magpie {
 namespace {
-// In expected run times.
-constexpr double kSlowWhenCompleted = 2;
-constexpr double kSlowWhileRunning = 2.5;
+// In multiples of the expected run time.
+constexpr double kSlowFactorWhenCompleted = 2;
+constexpr double kSlowFactorWhileRunning = 2.5;
 constexpr std::size_t kSamplesPerMachine = 3;
 }  // namespace
 
-// What began under an earlier leader has run for longer than this leader knows.
+// The run time of a task that started under an earlier leader is unknown.
 void SlowMachineDetector::OnCompleted(Machine& machine, Job& job, const Task& task, Instant now) {
   if (!task.running || !task.start_observed || job.cancelled) return;
   const Seconds took = now - task.since;
-  if (!task.overrun_counted) RecordRunTime(machine, job, took, RunEnd::kCompleted);
-  // A slow machine says nothing of its type, nor does an attempt that went on from a checkpoint.
+  if (!task.overrun_counted) RecordRunTime(machine, job, took, RunStatus::kCompleted);
+  // Run times on slow machines and of attempts resumed from a checkpoint are not representative of
+  // the machine type.
   if (!machine.cordoned && (task.attempt.value == 1 || job.spec.checkpoint_interval.value <= 0))
     state_.run_times.Learn(machine, job, took);
 }
 
 void SlowMachineDetector::RecordRunTime(Machine& machine, const Job& job, Seconds took,
-                                        RunEnd end) {
+                                        RunStatus status) {
   if (job.spec.estimate.value <= 0) return;
-  const auto elsewhere = job.pace.MedianOnOtherMachines(PaceNumberOf(machine.id));
-  const double expected = elsewhere ? *elsewhere * job.spec.estimate.value
-                                    : state_.run_times.ExpectedOnType(job.spec, machine.type).value;
-  const double limit = end == RunEnd::kCompleted ? kSlowWhenCompleted : kSlowWhileRunning;
+  const auto median_ratio = job.pace.MedianOnOtherMachines(PaceKeyOf(machine.id));
+  const double expected = median_ratio
+                              ? *median_ratio * job.spec.estimate.value
+                              : state_.run_times.ExpectedOnType(job.spec, machine.type).value;
+  const double limit =
+      status == RunStatus::kCompleted ? kSlowFactorWhenCompleted : kSlowFactorWhileRunning;
   const bool slow = took.value >= limit * expected;
-  if (end == RunEnd::kStillRunning && !slow) return;
-  if (!elsewhere)
+  if (status == RunStatus::kStillRunning && !slow) return;
+  if (!median_ratio)
     std::erase_if(machine.pace, [&](const auto& sample) { return sample.job == job.spec.id; });
   machine.pace.push_back({job.spec.id, slow});
   if (machine.pace.size() > kSamplesPerMachine) machine.pace.pop_front();
   if (machine.cordoned || machine.pace.size() < kSamplesPerMachine) return;
   if (std::all_of(machine.pace.begin(), machine.pace.end(),
                   [](const auto& sample) { return sample.slow; }))
-    CordonSlow(machine);
+    CordonSlowMachine(machine);
 }
 
-void SlowMachineDetector::CordonSlow(Machine& machine) {
+void SlowMachineDetector::CordonSlowMachine(Machine& machine) {
   machine.cordoned = true;
   state_.machines.heartbeats().Watch(machine);
   state_.signals.MarkChanged();
-  if (state_.decisions.enabled()) state_.decisions.Add("slow " + machine.id.value);
+  if (state_.decisions.enabled())
+    state_.decisions.Add("cordon reason=slow machine=" + machine.id.value);
   state_.signals.RequestInspection();
   for (const HeldTask& held : machine.tasks) {
     const JobSpec& spec = held.job->spec;
@@ -63,29 +67,29 @@
     return;
   const Seconds expected = state_.run_times.ExpectedOnMachine(job, *task.machine);
   if (expected.value <= 0) return;
-  state_.overdue.Add(job, index, task.since + kSlowWhileRunning * expected);
+  state_.overdue.Add(job, index, task.since + kSlowFactorWhileRunning * expected);
 }
 
 void SlowMachineDetector::OnRunning(Job& job, std::uint32_t index, Instant now) {
   Task& task = job.tasks[index];
   if (!task.overdue) return;
   const Seconds expected = state_.run_times.ExpectedOnMachine(job, *task.machine);
-  if (now - task.since < kSlowWhileRunning * expected) return;
+  if (now - task.since < kSlowFactorWhileRunning * expected) return;
   state_.overdue.Remove(job, index);
   task.overrun_counted = true;
   if (!task.machine->cordoned)
-    RecordRunTime(*task.machine, job, now - task.since, RunEnd::kStillRunning);
+    RecordRunTime(*task.machine, job, now - task.since, RunStatus::kStillRunning);
 }
 
 void SlowMachineDetector::CheckOverdueTasks(Instant now) {
   OverdueTasks& overdue = state_.overdue;
-  while (!overdue.empty() && overdue.first().when <= now) {
+  while (!overdue.empty() && overdue.first().overdue_at <= now) {
     const OverdueTasks::Entry first = overdue.first();
     Job& job = *state_.jobs.FindBySerial(first.job_serial);
     OnRunning(job, first.index, now);
-    // Longer run times may be expected by now than when the task was added.
+    // The expected run time may have grown since the task was added.
     if (job.tasks[first.index].overdue) OnStarted(job, first.index);
-    if (!overdue.empty() && overdue.first().when == first.when) break;
+    if (!overdue.empty() && overdue.first().overdue_at == first.overdue_at) break;
   }
 }
 
--- a/src/scheduling/slow_machine_detector.h
+++ b/src/scheduling/slow_machine_detector.h
@@ -1,10 +1,11 @@
-// Learns run times from tasks, and finds machines that are slow.
+// Learns run times from completed tasks, and detects slow machines.
 //
-// A machine whose tasks all take far longer than expected is slow: it is cordoned, and tasks that
-// can be saved move on. One long task proves nothing, nor do several of one job that is longer than
-// its owner estimated: each counts if tasks of its job took less elsewhere, and otherwise one for
-// each job. Tasks that have not ended yet may already show it; these are looked at when they are
-// reported, and when they are overdue.
+// A machine whose latest tasks all took far longer than expected is slow. It is cordoned, and its
+// array tasks with checkpoints are moved to other machines. A single long task proves nothing, and
+// several tasks of one job may be long because the job's estimate is too low. A task is therefore
+// compared with tasks of its job on other machines; while too few of these are known, only the
+// latest task of each job counts. Running tasks count as well; they are checked when they are
+// reported and when they are overdue.
 #pragma once
 
 #include <cstdint>
@@ -22,19 +23,19 @@
   SlowMachineDetector(ClusterState& state, TaskLifecycle& lifecycle)
       : state_(state), lifecycle_(lifecycle) {}
 
-  // A task was seen to start running.
+  // Called when a task is seen to start running.
   void OnStarted(Job& job, std::uint32_t index);
-  // A task is still running.
+  // Called when a task is reported as still running.
   void OnRunning(Job& job, std::uint32_t index, Instant now);
-  // A running task was completed on the machine.
+  // Called when a running task has completed on the machine.
   void OnCompleted(Machine& machine, Job& job, const Task& task, Instant now);
-  // Looks at the tasks that are overdue by now.
+  // Checks the tasks that are overdue.
   void CheckOverdueTasks(Instant now);
 
  private:
-  enum class RunEnd { kCompleted, kStillRunning };
-  void RecordRunTime(Machine& machine, const Job& job, Seconds took, RunEnd end);
-  void CordonSlow(Machine& machine);
+  enum class RunStatus { kCompleted, kStillRunning };
+  void RecordRunTime(Machine& machine, const Job& job, Seconds took, RunStatus status);
+  void CordonSlowMachine(Machine& machine);
 
   ClusterState& state_;
   TaskLifecycle& lifecycle_;
--- a/src/scheduling/task_placer.cc
+++ b/src/scheduling/task_placer.cc
@@ -9,33 +9,35 @@
 struct TaskPlacer::JobPlacement {
   PlanningRound& round;
   const QueuedJob& queued;
-  std::optional<Priority> no_preemption_up_to;
+  std::optional<Priority> max_non_preempting_priority;
   Instant now;
   CandidateSelector selector;
-  std::size_t waiting = 0;   // tasks that stay pending, but have a reservation
-  bool within_quota = true;  // the next task, all reservations counted
+  std::size_t waiting = 0;   // pending tasks with a reservation
+  bool within_quota = true;  // whether the next task is, with all reservations counted
 
   Job& job() const { return *queued.job; }
   const JobSpec& spec() const { return queued.job->spec; }
   bool is_service() const { return spec().kind == JobKind::kService; }
-  // The job may be faulty: it neither preempts nor provisions for what has another place.
+  // The job may be faulty: it does not preempt, and does not provision while a machine suits its
+  // task.
   bool is_limited() const { return queued.max_tasks != FailureAttribution::kUnlimited; }
   void CountUsage() { round.usage[spec().team] += spec().per_task; }
-  void CountNearUsage() { round.near_usage[spec().team] += spec().per_task; }
+  void CountNearTermUsage() { round.near_term_usage[spec().team] += spec().per_task; }
 };
 
 void TaskPlacer::Place(PlanningRound& round, const QueuedJob& queued,
-                       std::optional<Priority> no_preemption_up_to, Instant now, int& budget) {
+                       std::optional<Priority> max_non_preempting_priority, Instant now,
+                       int& budget) {
   const Job& job = *queued.job;
   ++state_.counters.jobs_planned;
-  JobPlacement placement{round, queued, no_preemption_up_to, now,
+  JobPlacement placement{round, queued, max_non_preempting_priority, now,
                          CandidateSelector(state_, round.plan, job, queued.due.target, now)};
   std::uint32_t tasks_left = queued.max_tasks;
   while (job.pending.size() > placement.waiting && budget > 0 && tasks_left > 0) {
     placement.within_quota = state_.quotas.WithinQuota(job, round.usage, job.spec.per_task);
-    // Near usage is a part of all usage, so this is mostly decided by the first check.
+    // Near-term usage is part of the total usage, so the first check mostly decides.
     if (!placement.within_quota &&
-        !state_.quotas.WithinQuota(job, round.near_usage, job.spec.per_task))
+        !state_.quotas.WithinQuota(job, round.near_term_usage, job.spec.per_task))
       return;
     --budget;
     --tasks_left;
@@ -52,20 +54,20 @@
   }
   const auto selection = placement.selector.Select();
   const bool available_now = selection && selection->option.available_now;
-  // Beyond the quota that reservations far ahead leave, nothing is reserved, provisioned or
-  // preempted.
+  // Beyond the quota that is left by all reservations, including those far in the future, nothing
+  // is reserved, provisioned or preempted.
   if (!placement.within_quota && !available_now) return Progress::kStop;
   const bool late = !IsInTime(queued.due.provisioning_target, selection);
   const bool may_provision = !placement.is_limited() || !selection;
   if (late && round.may_scale_out && !available_now && may_provision &&
       ScaleOut(placement, selection)) {
     placement.CountUsage();
-    placement.CountNearUsage();
+    placement.CountNearTermUsage();
     ++placement.waiting;
     return Progress::kContinue;
   }
   if (PreemptIfLate(placement, selection) == Progress::kStop || !selection) return Progress::kStop;
-  Take(placement, *selection);
+  ApplySelection(placement, *selection);
   return Progress::kContinue;
 }
 
@@ -80,18 +82,19 @@
   if (IsInTime(queued.due.target, selection) || placement.is_limited()) return Progress::kContinue;
   const bool available_now = selection && selection->option.available_now;
   if (!available_now) {
-    // A job that is deferred will be late all the same.
+    // A deferred job would be late anyway.
     if (!queued.deferred) Preempt(placement);
     return Progress::kContinue;
   }
-  // A replica rather starts at once on a machine that has its image than here after a fetch.
+  // A replica starts earlier on a machine that has its image than here after an image fetch.
   const bool has_to_fetch = selection->option.wait.value > 0;
   return placement.is_service() && has_to_fetch && Preempt(placement) ? Progress::kStop
                                                                       : Progress::kContinue;
 }
 
-void TaskPlacer::Take(JobPlacement& placement, const CandidateSelector::Selection& selection) {
-  constexpr Seconds kFarAhead{60};
+void TaskPlacer::ApplySelection(JobPlacement& placement,
+                                const CandidateSelector::Selection& selection) {
+  constexpr Seconds kNearTermWait{60};
   PlanningRound& round = placement.round;
   Job& job = placement.job();
   const PlacementOption& option = selection.option;
@@ -100,8 +103,9 @@
                      placement.is_service() ? std::nullopt : std::optional(end));
   placement.CountUsage();
   Machine* machine = round.plan.machines()[selection.machine_index].machine;
-  const bool boots = machine == nullptr || !machine->up;
-  if (option.available_now || boots || option.wait <= kFarAhead) placement.CountNearUsage();
+  const bool is_booting = machine == nullptr || !machine->up;
+  if (option.available_now || is_booting || option.wait <= kNearTermWait)
+    placement.CountNearTermUsage();
   if (!option.available_now) {
     ++placement.waiting;
     return;
@@ -113,7 +117,7 @@
 
 bool TaskPlacer::ScaleOut(JobPlacement& placement,
                           const std::optional<CandidateSelector::Selection>& selection) {
-  constexpr double kMinGain = 0.25;  // of the boot time or of the run time
+  constexpr double kMinGainFraction = 0.25;  // fraction of the boot time and of the run time
   PlanningRound& round = placement.round;
   const Job& job = placement.job();
   const Instant now = placement.now;
@@ -129,7 +133,8 @@
   const auto offer = state_.autoscaler.ChooseMachine(demand, round.machines_by_kind, now);
   if (!offer) return false;
   const Seconds run_time = state_.run_times.ExpectedOnType(job.spec, offer->kind.type);
-  const Seconds min_gain = std::max(kMinGain * offer->type->boot_time, kMinGain * run_time);
+  const Seconds min_gain =
+      std::max(kMinGainFraction * offer->type->boot_time, kMinGainFraction * run_time);
   if (selection &&
       offer->ready + run_time + min_gain >= selection->option.wait + selection->option.run_time)
     return false;
@@ -148,14 +153,15 @@
 bool TaskPlacer::Preempt(JobPlacement& placement) {
   constexpr Seconds kSaveMargin{1};
   const std::vector<Preemption> preemptions = preemption_planner_.Plan(
-      placement.round, placement.job(), placement.no_preemption_up_to, placement.now);
+      placement.round, placement.job(), placement.max_non_preempting_priority, placement.now);
   for (const Preemption& preemption : preemptions) {
     for (const HeldTask& victim : preemption.victims) {
       const JobSpec& spec = victim.job->spec;
-      const bool saves_its_work = spec.checkpoint_interval.value > 0;
-      lifecycle_.StopTask(victim, saves_its_work ? spec.save_duration + kSaveMargin : Seconds{0});
+      const bool saves_checkpoint = spec.checkpoint_interval.value > 0;
+      lifecycle_.StopTask(victim, saves_checkpoint ? spec.save_duration + kSaveMargin : Seconds{0});
       if (state_.decisions.enabled())
-        state_.decisions.Add("stop " + spec.id.value + " for " + placement.spec().id.value);
+        state_.decisions.Add("preempt job=" + spec.id.value +
+                             " for_job=" + placement.spec().id.value);
     }
     state_.commands.Request(*preemption.machine);
   }
--- a/src/scheduling/task_placer.h
+++ b/src/scheduling/task_placer.h
@@ -1,4 +1,5 @@
-// Places the tasks of one job: binds them, reserves machines for them, or plans to provision some.
+// Places the tasks of one job: binds them, reserves capacity for them, or plans to provision
+// machines.
 #pragma once
 
 #include <cstdint>
@@ -15,19 +16,20 @@
 
 namespace magpie {
 
-// Policy: a task goes where the slack rule sends it. If the machine is not free yet, the task
-// reserves it. A task that would be late gets a new machine if that is worth its price, and
-// otherwise preempts less urgent work, unless it will be late all the same.
+// Policy: a task is placed on the machine that the slack rule selects. If the machine has no free
+// capacity yet, the task gets a reservation. For a task that would be late, a machine is
+// provisioned if that is worth its price; otherwise less urgent work is preempted, unless the task
+// would be late anyway.
 class TaskPlacer {
  public:
-  // All must outlive this object.
+  // Both must outlive this object.
   TaskPlacer(ClusterState& state, TaskLifecycle& lifecycle)
       : state_(state), lifecycle_(lifecycle), preemption_planner_(state) {}
 
   // Places the job's pending tasks, as far as its quota, the machines and the budget allow. Each
-  // task that is considered takes one of `budget`.
+  // considered task reduces `budget` by one.
   void Place(PlanningRound& round, const QueuedJob& queued,
-             std::optional<Priority> no_preemption_up_to, Instant now, int& budget);
+             std::optional<Priority> max_non_preempting_priority, Instant now, int& budget);
 
  private:
   // The placement of one job's tasks in one round.
@@ -36,16 +38,17 @@
 
   Progress PlaceNextTask(JobPlacement& placement);
   bool IsInTime(Seconds target, const std::optional<CandidateSelector::Selection>& selection) const;
-  // Provisions a machine for the job's next task if that ends it clearly sooner than the selection.
+  // Plans to provision a machine if the job's next task would end clearly earlier there than on the
+  // selected machine.
   bool ScaleOut(JobPlacement& placement,
                 const std::optional<CandidateSelector::Selection>& selection);
-  // Preempts work for a task that would be late. Returns kStop if the task should rather wait for
-  // the room that this makes than take the selected machine.
+  // Preempts work for a task that would be late. Returns kStop if the task should wait for the
+  // freed capacity instead of using the selected machine.
   Progress PreemptIfLate(JobPlacement& placement,
                          const std::optional<CandidateSelector::Selection>& selection);
   // Returns whether any work was preempted.
   bool Preempt(JobPlacement& placement);
-  void Take(JobPlacement& placement, const CandidateSelector::Selection& selection);
+  void ApplySelection(JobPlacement& placement, const CandidateSelector::Selection& selection);
 
   ClusterState& state_;
   TaskLifecycle& lifecycle_;
--- a/tests/large_installation_test.cc
+++ b/tests/large_installation_test.cc
@@ -1,4 +1,4 @@
-// Half as many machines again as the largest deployment: what it takes of a controller.
+// Resource use of a controller with 1.5 times the machines of the largest deployment.
 #include <malloc.h>
 
 #include "controller/settings.h"
@@ -10,28 +10,28 @@
 
 constexpr std::uint32_t kMachines = 3000;
 
-std::size_t InUse() { return mallinfo2().uordblks; }
+std::size_t AllocatedBytes() { return mallinfo2().uordblks; }
 
-Heartbeat ReportOf(std::uint32_t number, std::uint64_t sequence, FencingToken token) {
-  Heartbeat r;
-  r.machine.value = std::string("vm-").append(std::to_string(100000 + number));
-  r.addr = std::string("127.0.0.1:").append(std::to_string(10000 + number));
-  r.type = std::string("large");
-  r.zone = std::string(1, number % 2 == 0 ? 'a' : 'b');
-  r.agent_epoch = 1;
-  r.sequence = sequence;
-  r.token = token;
-  return r;
+Heartbeat HeartbeatOf(std::uint32_t number, std::uint64_t sequence, FencingToken token) {
+  Heartbeat heartbeat;
+  heartbeat.machine.value = std::string("vm-").append(std::to_string(100000 + number));
+  heartbeat.addr = std::string("127.0.0.1:").append(std::to_string(10000 + number));
+  heartbeat.type = std::string("large");
+  heartbeat.zone = std::string(1, number % 2 == 0 ? 'a' : 'b');
+  heartbeat.agent_epoch = 1;
+  heartbeat.sequence = sequence;
+  heartbeat.token = token;
+  return heartbeat;
 }
 
-// The leader's memory with all machines up and full of work, a third of it waiting, as
-// the smallest controller of the fleets has it (128 MB, of which a quarter is set aside
-// for threads and buffers). Sanitizers replace the allocator: there it is only played.
-TEST(LargeInstallationTest, LeaderManagesThreeThousandMachinesAndTheirJobs) {
+// Checks the leader's memory with all machines up and fully used, and a third of the tasks waiting.
+// The smallest controllers have 128 MB, of which a quarter is reserved for threads and buffers.
+// Sanitizers replace the allocator, so with them the test does not measure memory.
+TEST(LargeInstallationTest, LeaderManagesThreeThousandMachinesWithinMemoryLimit) {
   Scheduler::Options options;
   options.teams = {{"red", 0, 0, 0, 0}};
   options.headroom = 0;
-  const std::size_t before = InUse();
+  const std::size_t bytes_before = AllocatedBytes();
   Scheduler core(options, {});
   core.SetTypes(Types());
   Instant now{100};
@@ -46,7 +46,7 @@
     ++sequence;
     std::size_t commands = 0;
     for (std::uint32_t i = 0; i < kMachines; ++i)
-      commands += core.OnHeartbeat(ReportOf(i, sequence, {}), now).commands.size();
+      commands += core.OnHeartbeat(HeartbeatOf(i, sequence, {}), now).commands.size();
     return commands;
   };
   heartbeats();
@@ -62,12 +62,12 @@
   EXPECT_EQ(status.bound, 8U * kMachines);
   EXPECT_EQ(commands, 8U * kMachines);
   EXPECT_EQ(status.pending, 600U * 60 - 8 * kMachines);
-  constexpr std::size_t kMost = 64UL << 20U;
-  EXPECT_LT(InUse() - std::min(before, InUse()), kMost);
+  constexpr std::size_t kMaxBytes = 64UL << 20U;
+  EXPECT_LT(AllocatedBytes() - std::min(bytes_before, AllocatedBytes()), kMaxBytes);
 }
 
-// Threads and connections do not grow with machines but with memory and sockets.
-TEST(LargeInstallationTest, ConnectionsBeyondTheLimitCostNoSocket) {
+// The number of threads and connections depends on memory and sockets, not on machines.
+TEST(LargeInstallationTest, MoreClientsThanConnectionLimitAreAnswered) {
   HttpServer server(
       [](const HttpRequest&) { return HttpResponse{200, "{}", 0, true}; },
       HttpServer::Limits{.connections = 20, .keep_alive_connections = 15, .threads = 4});
--- a/tests/planning_cost_test.cc
+++ b/tests/planning_cost_test.cc
@@ -1,4 +1,4 @@
-// What a tick of the scheduler costs in large deployments, and the indexes that bound it.
+// Cost of a scheduler tick in large deployments, and the indexes that limit it.
 #include <algorithm>
 #include <array>
 #include <random>
@@ -12,17 +12,16 @@
 
 class PlanningCostTest : public ClusterTest {};
 
-// Each waiting task once looked at every machine, then each waiting job: the
-// leader fell behind for good when there were thousands of both, and a tenth of
-// 32,000 machines took 3 s to be replaced.
-TEST_F(PlanningCostTest, TickInspectsEachMachineOnceForAllJobsAlike) {
+// Guards against evaluating every machine for each waiting task or job. With thousands of both the
+// leader never caught up, and replacing a tenth of 32,000 machines took 3 s.
+TEST_F(PlanningCostTest, TickEvaluatesEachMachineOnceForIdenticalJobs) {
   constexpr std::uint32_t kMachines = 2000;
   constexpr std::uint32_t kTasks = 3000;
   constexpr std::uint32_t kJobs = 30;
   TestController& node = AddController("n0");
   for (std::uint32_t i = 0; i < kMachines; ++i) AddWorker("m-" + std::to_string(i));
   ASSERT_TRUE(node.TakeOver(now));
-  for (FakeWorker& w : workers_) Heartbeat(node, w);
+  for (FakeWorker& worker : workers_) Heartbeat(node, worker);
   for (std::uint32_t j = 1; j <= kJobs; ++j) {
     JobSpec spec = MakeJob("j-" + std::to_string(j), kTasks / kJobs);
     spec.deadline = Seconds{1000};
@@ -33,14 +32,14 @@
   EXPECT_LE(node.core.GetStatus().candidates_evaluated, kMachines + kTasks);
 }
 
-// Jobs of more sizes and images than shelves are kept for still find places, and
-// what one job took is not given to the next that comes back to an older shelf.
-TEST_F(PlanningCostTest, MoreTaskShapesThanCandidateIndexesShareTheMachines) {
+// Jobs with more task sizes and images than there are candidate indexes are still placed, and
+// capacity that one job uses is not given again to a job that uses an older index.
+TEST_F(PlanningCostTest, MoreTaskShapesThanCandidateIndexesShareMachines) {
   constexpr std::uint32_t kJobs = 50;
   TestController& node = AddController("n0");
   for (std::uint32_t i = 0; i < 10; ++i) AddWorker("m-" + std::to_string(i));
   ASSERT_TRUE(node.TakeOver(now));
-  for (FakeWorker& w : workers_) Heartbeat(node, w);
+  for (FakeWorker& worker : workers_) Heartbeat(node, worker);
   for (std::uint32_t j = 0; j < kJobs; ++j) {
     JobSpec spec = MakeJob("j-" + std::to_string(j), 2);
     spec.image = "img-" + std::to_string(j % 25);
@@ -50,24 +49,25 @@
   }
   node.core.Tick(now, wall);
   Settle(node);
-  const double kRoom = 4;  // CPUs of a small machine
-  for (FakeWorker& w : workers_) {
+  const double kMachineCpus = 4;  // of a small machine
+  for (FakeWorker& worker : workers_) {
     double used = 0;
-    for (const TaskStatus& t : w.Snapshot().tasks)
+    for (const TaskStatus& t : worker.Snapshot().tasks)
       used += 1 + std::stoi(t.task.job.value.substr(2)) % 3;
-    EXPECT_EQ(used, kRoom) << w.id().value << " is to be full, and not more";
+    EXPECT_EQ(used, kMachineCpus) << worker.id().value << " must be exactly full";
   }
 }
 
-// Equal candidates once went by name, so that all was on machines rented together.
-TEST(CandidateIndexTest, EqualCandidatesAreTakenInAScatteredOrder) {
+// Guards against ordering equal candidates by name, which puts all tasks on machines that were
+// provisioned together.
+TEST(CandidateIndexTest, EqualCandidatesAreChosenInScatteredOrder) {
   constexpr std::uint32_t kMachines = 100;
   CandidateIndex index({1, 0, 1}, 0, 0);
-  CandidateIndex::KindCandidates& kind = index.OfKind(0);
+  CandidateIndex::KindCandidates& kind = index.CandidatesOfKind(0);
   CandidateIndex::Versions versions(kMachines);
   for (std::uint32_t i = 0; i < kMachines; ++i) kind.available_now.Add({{0}, 4, i, 0});
   std::array<int, 4> quarters{};
-  for (std::uint32_t turn = 0; turn < kMachines / 4; ++turn) {
+  for (std::uint32_t step = 0; step < kMachines / 4; ++step) {
     const std::uint32_t machine = kind.available_now.Best(versions)->machine_index;
     ++quarters.at(4 * machine / kMachines);
     ++versions[machine];
@@ -75,70 +75,70 @@
   for (const int taken : quarters) EXPECT_NEAR(taken, kMachines / 16, 2);
 }
 
-// An index must answer as a scan of all candidates would, whatever has changed since.
-TEST(CandidateIndexTest, MatchesAFullScan) {
+// After any change, an index must return the same candidate as a scan of all candidates.
+TEST(CandidateIndexTest, BestCandidateMatchesFullScan) {
   constexpr std::uint32_t kMachines = 40;
-  std::mt19937 dice(7);
+  std::mt19937 random_engine(7);
   CandidateIndex index({1, 0, 1}, 0, 0);
-  CandidateIndex::KindCandidates& kind = index.OfKind(3);
+  CandidateIndex::KindCandidates& kind = index.CandidatesOfKind(3);
   CandidateIndex::Versions versions(kMachines);
   std::vector<CandidateIndex::Candidate> candidates;
-  const auto enter = [&](std::uint32_t machine) {
+  const auto add_candidate = [&](std::uint32_t machine) {
     const CandidateIndex::Candidate candidate{
-        {double(dice() % 4)}, double(dice() % 5), machine, versions[machine]};
+        {double(random_engine() % 4)}, double(random_engine() % 5), machine, versions[machine]};
     candidates[machine] = candidate;
     kind.all.Add(candidate);
   };
   candidates.resize(kMachines);
-  for (std::uint32_t i = 0; i < kMachines; ++i) enter(i);
-  for (int turn = 0; turn < 500; ++turn) {
+  for (std::uint32_t i = 0; i < kMachines; ++i) add_candidate(i);
+  for (int step = 0; step < 500; ++step) {
     const auto best = kind.all.Best(versions);
     ASSERT_TRUE(best);
     EXPECT_EQ(best->machine_index,
               std::min_element(candidates.begin(), candidates.end())->machine_index);
-    const std::uint32_t changed = turn % 2 == 0 ? best->machine_index : dice() % kMachines;
+    const std::uint32_t changed = step % 2 == 0 ? best->machine_index : random_engine() % kMachines;
     ++versions[changed];
-    enter(changed);
+    add_candidate(changed);
   }
   for (std::uint32_t& v : versions) ++v;
-  EXPECT_FALSE(kind.all.Best(versions)) << "all are outdated";
-  EXPECT_FALSE(kind.available_now.Best(versions)) << "none was added there";
+  EXPECT_FALSE(kind.all.Best(versions)) << "all entries are outdated";
+  EXPECT_FALSE(kind.available_now.Best(versions)) << "no candidate was added to this heap";
 }
 
-// Each tick once looked at all machines, four times a second for silence and once
-// for what to return: a quiet fleet of 32,000 took 17 ms a tick.
+// Guards against inspecting all machines in each tick: four times a second for missing heartbeats
+// and once for machines to release. With 32,000 unchanged machines a tick took 17 ms.
 TEST_F(PlanningCostTest, IdleTickInspectsNoMachine) {
   constexpr std::uint32_t kMachines = 400;
-  constexpr std::uint32_t kTurns = 12;  // of a quarter of a second: one report interval
+  constexpr std::uint32_t kTicks = 12;  // of 0.25 s: one heartbeat interval
   TestController& node = AddController("n0");
   for (std::uint32_t i = 0; i < kMachines; ++i) AddWorker("m-" + std::to_string(i));
   ASSERT_TRUE(node.TakeOver(now));
-  for (FakeWorker& w : workers_) Heartbeat(node, w);
+  for (FakeWorker& worker : workers_) Heartbeat(node, worker);
   Run(node, MakeJob("j-1", 2 * kMachines));
   Settle(node);
-  ASSERT_EQ(CountLiveTasks(), 2U * kMachines) << "nothing is idle";
+  ASSERT_EQ(CountLiveTasks(), 2U * kMachines) << "no machine is idle";
   RunCloud(node);
-  const auto turn = [&](std::uint32_t k) {
+  const auto run_tick = [&](std::uint32_t tick) {
     std::uint32_t i = 0;
-    for (FakeWorker& w : workers_)
-      if (i++ % kTurns == k % kTurns) Heartbeat(node, w);
+    for (FakeWorker& worker : workers_)
+      if (i++ % kTicks == tick % kTicks) Heartbeat(node, worker);
     AdvanceTime(0.25);
     node.core.Tick(now, wall);
     EXPECT_FALSE(node.core.NextProbe(now));
   };
-  for (std::uint32_t k = 0; k < kTurns; ++k) turn(k);
+  for (std::uint32_t tick = 0; tick < kTicks; ++tick) run_tick(tick);
   const SchedulerStatus before = node.core.GetStatus();
-  for (std::uint32_t k = 0; k < 2 * kTurns; ++k) turn(k);
+  for (std::uint32_t tick = 0; tick < 2 * kTicks; ++tick) run_tick(tick);
   EXPECT_EQ(node.core.GetStatus().machines_inspected, before.machines_inspected);
 
-  // One that falls silent is looked at, and no other.
+  // Only a machine that stops sending heartbeats is inspected.
   unresponsive_workers_.insert(workers_.front().id());
   AdvanceTime(0.1);
-  for (FakeWorker& w : workers_)
-    if (!unresponsive_workers_.contains(w.id())) Heartbeat(node, w);
+  for (FakeWorker& worker : workers_)
+    if (!unresponsive_workers_.contains(worker.id())) Heartbeat(node, worker);
   AdvanceTime(4.5);
-  for (FakeWorker& w : workers_)
-    if (!unresponsive_workers_.contains(w.id())) Heartbeat(node, w);
+  for (FakeWorker& worker : workers_)
+    if (!unresponsive_workers_.contains(worker.id())) Heartbeat(node, worker);
   node.core.Tick(now, wall);
   const auto probe = node.core.NextProbe(now);
   ASSERT_TRUE(probe);
@@ -146,42 +146,43 @@
   EXPECT_LE(node.core.GetStatus().machines_inspected - before.machines_inspected, 8U);
 }
 
-TEST(HeartbeatIndexTest, KeepsLateMachinesApartAndCountsThemByZone) {
+TEST(HeartbeatIndexTest, SeparatesLateMachinesAndCountsThemByZone) {
   HeartbeatIndex heartbeat_index(Seconds{5});
-  std::vector<HeartbeatIndex::Member> m(3);
-  for (auto& per_task : m) heartbeat_index.AddMember(per_task, Instant{100});
-  heartbeat_index.AssignZone(m[0], "a", true);
-  heartbeat_index.AssignZone(m[1], "a", true);
-  heartbeat_index.RecordHeartbeat(m[1], Instant{104});
+  std::vector<HeartbeatIndex::Member> members(3);
+  for (auto& member : members) heartbeat_index.AddMember(member, Instant{100});
+  heartbeat_index.AssignZone(members[0], "a", true);
+  heartbeat_index.AssignZone(members[1], "a", true);
+  heartbeat_index.RecordHeartbeat(members[1], Instant{104});
   heartbeat_index.AdvanceTime(Instant{106});
   EXPECT_EQ(heartbeat_index.late().size(), 2U);
   EXPECT_EQ(heartbeat_index.zones().at("a").late, 1U);
-  heartbeat_index.AssignZone(m[2], "b", true);
-  EXPECT_EQ(heartbeat_index.zones().at("b").late, 1U) << "late already when it is counted";
-  EXPECT_TRUE(heartbeat_index.RecordHeartbeat(m[0], Instant{107}));
-  EXPECT_FALSE(heartbeat_index.RecordHeartbeat(m[0], Instant{108}));
+  heartbeat_index.AssignZone(members[2], "b", true);
+  EXPECT_EQ(heartbeat_index.zones().at("b").late, 1U)
+      << "the machine is already late when it is counted";
+  EXPECT_TRUE(heartbeat_index.RecordHeartbeat(members[0], Instant{107}));
+  EXPECT_FALSE(heartbeat_index.RecordHeartbeat(members[0], Instant{108}));
   EXPECT_EQ(heartbeat_index.zones().at("a").late, 0U);
-  EXPECT_EQ(heartbeat_index.fresh().front(), &m[1]) << "the oldest comes first";
-  heartbeat_index.Watch(m[2]);
-  heartbeat_index.RemoveMember(m[2]);
+  EXPECT_EQ(heartbeat_index.fresh().front(), &members[1]) << "the oldest heartbeat comes first";
+  heartbeat_index.Watch(members[2]);
+  heartbeat_index.RemoveMember(members[2]);
   EXPECT_EQ(heartbeat_index.zones().at("b").all, 0U);
   EXPECT_TRUE(heartbeat_index.watched().empty());
   EXPECT_TRUE(heartbeat_index.late().empty());
 }
 
-// Between two full plans, a tick stops where nothing more can begin now: with
-// all machines full, each report of an end else cost a plan for all that waits.
-TEST_F(PlanningCostTest, FullClusterIsPlannedToTheEndOnceASecond) {
+// Between two full rounds, a tick stops planning once no more tasks can start now. Otherwise, with
+// all machines full, each reported end of a task would cost planning all waiting jobs.
+TEST_F(PlanningCostTest, FullClusterGetsOneFullRoundPerSecond) {
   constexpr int kMachines = 20;
-  constexpr int kWaiting = 50;
+  constexpr int kWaitingJobs = 50;
   TestController& node = AddController("n0");
   for (int i = 0; i < kMachines; ++i) AddWorker("m-" + std::to_string(i));
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
   Run(node, MakeJob("j-1", 2 * kMachines));
-  for (int j = 2; j < 2 + kWaiting; ++j) Run(node, MakeJob("j-" + std::to_string(j)));
+  for (int j = 2; j < 2 + kWaitingJobs; ++j) Run(node, MakeJob("j-" + std::to_string(j)));
   Settle(node);
-  ASSERT_EQ(CountLiveTasks(), 2U * kMachines) << "all is full";
+  ASSERT_EQ(CountLiveTasks(), 2U * kMachines) << "all machines are full";
   AdvanceTime(2);
   node.core.Tick(now, wall);
   const SchedulerStatus full = node.core.GetStatus();
@@ -190,17 +191,17 @@
   EXPECT_EQ(node.core.GetStatus().jobs_planned, full.jobs_planned);
   EXPECT_EQ(node.core.GetStatus().candidates_evaluated, full.candidates_evaluated);
 
-  // Two ends make room for two tasks, and as many jobs are looked at for them.
-  FakeWorker& w = workers_.front();
-  w.EndAll(ExitReason::kDone);
-  Heartbeat(node, w);
+  // Two ended tasks free capacity for two tasks, and at most two jobs are planned for it.
+  FakeWorker& worker = workers_.front();
+  worker.EndAll(ExitReason::kDone);
+  Heartbeat(node, worker);
   AdvanceTime(0.1);
   node.core.Tick(now, wall);
   EXPECT_LE(node.core.GetStatus().jobs_planned, full.jobs_planned + 2);
-  EXPECT_EQ(node.core.GetStatus().pending, static_cast<std::size_t>(kWaiting - 2));
+  EXPECT_EQ(node.core.GetStatus().pending, static_cast<std::size_t>(kWaitingJobs - 2));
   AdvanceTime(1);
   node.core.Tick(now, wall);
-  EXPECT_GE(node.core.GetStatus().jobs_planned, full.jobs_planned + kWaiting - 2);
+  EXPECT_GE(node.core.GetStatus().jobs_planned, full.jobs_planned + kWaitingJobs - 2);
 }
 
 TEST_F(PlanningCostTest, ManyPollsShareOneRead) {
@@ -211,15 +212,16 @@
   const int commits = store.commits;
   const int watches = store.watches;
   ASSERT_EQ(node.api.Cancel("j-1").status, 200);
-  EXPECT_TRUE(cache.Find({"j-1"}).live->cancelled) << "a change since is seen";
+  EXPECT_TRUE(cache.Find({"j-1"}).live->cancelled) << "later changes are visible";
   EXPECT_FALSE(cache.Find({"j-2"}).live.has_value());
   EXPECT_LE(store.watches - watches, 3);
-  EXPECT_EQ(store.commits - commits, 2) << "a cancellation's two steps, and nothing for polls";
+  EXPECT_EQ(store.commits - commits, 2) << "two for the cancellation, and none for polls";
   ASSERT_EQ(Submit(node, MakeJob("j-3")), 201);
-  store.compacted_before = store.current_revision();  // too many changes ago: read anew
+  store.compacted_before =
+      store.current_revision();  // the changes are no longer available, so the cache reads again
   EXPECT_TRUE(cache.Find({"j-3"}).live.has_value());
   store.outage = true;
-  EXPECT_FALSE(cache.Find({"j-1"}).store_reachable) << "what can't be checked is not told";
+  EXPECT_FALSE(cache.Find({"j-1"}).store_reachable) << "an unverified state is not returned";
 }
 
 }  // namespace
--- a/tests/team_guarantee_test.cc
+++ b/tests/team_guarantee_test.cc
@@ -1,4 +1,4 @@
-// A team's guaranteed resources: who may use them, and when they are free again.
+// Use of a team's guaranteed resources: which jobs may use them, and when they are freed.
 #include <gtest/gtest.h>
 
 #include "test_cluster.h"
@@ -8,9 +8,9 @@
 
 class TeamGuaranteeTest : public ClusterTest {};
 
-// Work within its team's guarantee waited for images on the smallest machines: its
-// class gave it all the time in the world, its guarantee 5 s.
-TEST_F(TeamGuaranteeTest, WorkWithinAGuaranteeStartsWhereItIsSoon) {
+// Guards against guaranteed work waiting for image fetches on the smallest machines: the targets of
+// its class were loose, but its guarantee required a start within 5 s.
+TEST_F(TeamGuaranteeTest, GuaranteedWorkStartsOnMachineWithImage) {
   Scheduler::Options options = DefaultOptions();
   options.objectives = {{"guarantee", "", {5}, 0.9, 1}};
   TestController& node = controllers_.emplace_back(store, "n0", options);
@@ -34,18 +34,19 @@
   }
   AdvanceTime(2);
   Settle(node);
-  EXPECT_TRUE(large.HasLiveTask(TaskOf("j-2"))) << "of the team with a guarantee";
-  EXPECT_TRUE(small.HasLiveTask(TaskOf("j-3"))) << "the other may wait for the image";
+  EXPECT_TRUE(large.HasLiveTask(TaskOf("j-2"))) << "the team has a guarantee";
+  EXPECT_TRUE(small.HasLiveTask(TaskOf("j-3")))
+      << "the team without a guarantee may wait for the image";
 }
 
-// A large array that does not fit into its team's guarantee took the room before
-// jobs that do: all tasks counted as guaranteed while their team used little.
-TEST_F(TeamGuaranteeTest, JobsWholeWithinAGuaranteeGoBeforeOthers) {
+// Guards against a large array that exceeds its team's guarantee being placed before jobs that lie
+// within theirs: all its tasks counted as guaranteed while the team used little.
+TEST_F(TeamGuaranteeTest, JobsEntirelyWithinGuaranteePrecedeOthers) {
   Scheduler::Options options = DefaultOptions();
   options.teams = {{"blue", 8, 0, 0, 0}, {"green", 8, 0, 0, 0}};
   options.objectives = {{"guarantee", "", {5}, 0.9, 1}};
   TestController& node = controllers_.emplace_back(store, "n0", options);
-  FakeWorker& small = AddWorker("m-1");  // of 4 CPUs: two tasks
+  FakeWorker& small = AddWorker("m-1");  // 4 CPUs, for two tasks
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
   JobSpec large = MakeJob("j-1", 5);  // 10 CPUs
@@ -61,9 +62,9 @@
   EXPECT_TRUE(small.HasLiveTask(TaskOf("j-2", 1)));
 }
 
-// What counts are the team's earlier jobs, whatever order they are loaded in: a
-// leader that takes over must not take the later job for the one within.
-TEST_F(TeamGuaranteeTest, EarlierJobsTakeTheGuaranteeAfterATakeoverToo) {
+// A team's guarantee covers its earlier jobs, in whatever order they are loaded. A new leader must
+// not give the guarantee to a later job.
+TEST_F(TeamGuaranteeTest, EarlierJobsClaimGuaranteeAfterTakeover) {
   Scheduler::Options options = DefaultOptions();
   options.teams = {{"blue", 4, 0, 0, 0}, {"green", 0, 0, 0, 0}};
   options.objectives = {{"guarantee", "", {5}, 0.9, 1}};
@@ -87,11 +88,11 @@
   const WriteBatch plan = core.NextWriteBatch(now);
   ASSERT_EQ(plan.puts.size(), 1U);
   ASSERT_EQ(plan.puts.front().records.size(), 2U);
-  for (const RecordPageEntry& r : plan.puts.front().records) EXPECT_EQ(r.job, early.id);
+  for (const RecordPageEntry& record : plan.puts.front().records) EXPECT_EQ(record.job, early.id);
 }
 
-// What a job claims of its team's guarantee must not stay claimed for ever.
-TEST_F(TeamGuaranteeTest, GuaranteeIsFreeOnceItsJobIsDoneOrCancelled) {
+// Guards against claims on a team's guarantee that outlive their jobs.
+TEST_F(TeamGuaranteeTest, GuaranteeIsFreedWhenJobIsDoneOrCancelled) {
   Scheduler::Options options = DefaultOptions();
   options.teams = {{"blue", 4, 0, 0, 0}, {"green", 4, 0, 0, 0}};
   options.objectives = {{"guarantee", "", {5}, 0.9, 1}};
@@ -129,9 +130,9 @@
   }
 }
 
-// On the first mechelen site a 64-CPU machine was rented so that work within a
-// guarantee might start in 5 s, which none that has to boot can.
-TEST_F(TeamGuaranteeTest, NothingIsRentedForAGuaranteeThatNoBootCanMeet) {
+// Guards against provisioning a machine for a guarantee that no booting machine can meet. On the
+// first mechelen site a 64-CPU machine was rented so that guaranteed work might start within 5 s.
+TEST_F(TeamGuaranteeTest, NoMachineIsProvisionedForGuaranteeShorterThanBootTime) {
   Scheduler::Options options = DefaultOptions();
   options.objectives = {{"guarantee", "", {5}, 0.9, 1}, {"wait", "sums", {250}, 0.9, 1}};
   TestController& node = controllers_.emplace_back(store, "n0", options);
@@ -142,7 +143,7 @@
   JobSpec first = MakeJob("j-1", 2);
   Run(node, first);
   Settle(node);
-  ASSERT_EQ(CountLiveTasks(), 2U) << "no room for more for 30 s";
+  ASSERT_EQ(CountLiveTasks(), 2U) << "no free capacity for 30 s";
   JobSpec spec = MakeJob("j-2");
   spec.team = "blue";
   Run(node, spec);
