--- a/src/scheduling/failure_detector.cc
+++ b/src/scheduling/failure_detector.cc
@@ -8,7 +8,7 @@
 // Minimum number of missed heartbeat intervals before a machine outside suspected zones is
 // released.
 constexpr double kMinMissedIntervals = 2.5;
-// Timeout of a machine that does not answer probes either.
+// Timeout of a machine that sends no heartbeats and does not answer probes.
 constexpr Seconds kUnansweredProbesTimeout{4};
 // Additional timeout where another controller may keep renewing leases during a partition.
 constexpr Seconds kRenewedLeaseExtension{80};
@@ -43,11 +43,12 @@
     if (zone.all == 0) continue;
     const bool half_late = zone.late > 1 && 2 * zone.late >= zone.all;
     const Seconds max_gap = std::max(kMinZoneGap, (kMaxMeanGaps / zone.all) * interval);
-    const bool all_silent = zone.all > 1 && now - zone.last_heartbeat > max_gap;
+    const bool no_heartbeats = zone.all > 1 && now - zone.last_heartbeat > max_gap;
     const auto relayed_here = relayed.find(name);
     const bool many_relayed =
         relayed_here != relayed.end() && kRelayedDivisor * relayed_here->second >= zone.all;
-    if (half_late || all_silent || many_relayed) zone_suspected_until_[name] = now + 0.5 * interval;
+    if (half_late || no_heartbeats || many_relayed)
+      zone_suspected_until_[name] = now + 0.5 * interval;
     // The zone stays suspected for a while, so that probes can find machines that are reachable.
     if (now < zone_suspected_until_[name]) suspected.insert(name);
   }
@@ -65,9 +66,9 @@
     else
       Inspect(machine, suspected_zones, now);
   }
-  const Seconds minimum = std::min(2.0 * state_.options.heartbeat_interval, SingleMachineTimeout());
+  const Seconds min_gap = std::min(2.0 * state_.options.heartbeat_interval, SingleMachineTimeout());
   for (HeartbeatIndex::Member* member : heartbeats.late()) {
-    if (now - member->last_heartbeat <= minimum) break;
+    if (now - member->last_heartbeat <= min_gap) break;
     Inspect(static_cast<Machine&>(*member), suspected_zones, now);
   }
 }
--- a/src/scheduling/probe_scheduler.cc
+++ b/src/scheduling/probe_scheduler.cc
@@ -20,7 +20,7 @@
 }
 
 bool ProbeScheduler::NeedsProbe(const Machine& machine, Instant now) const {
-  constexpr std::uint32_t kMinOutOfOrderMessages = 2;  // after so many, the worker is probed
+  constexpr std::uint32_t kMinOutOfOrderMessages = 2;  // that cause a probe
   if (machine.addr.empty() || machine.command_in_flight || machine.releasing ||
       now < machine.next_probe_at)
     return false;
--- a/src/scheduling/scheduler_options.h
+++ b/src/scheduling/scheduler_options.h
@@ -39,8 +39,8 @@
   Seconds list_interval{3};     // interval of reading the cloud's machine list
   Seconds idle_timeout{20};     // an idle machine is released after this
   Seconds min_billed_time{60};  // minimum time that the cloud charges for a machine
-  double boot_timeout_factor =
-      4;  // maximum boot time, in expected boot times of the type, before a machine is released
+  // A machine that does not boot is released after this multiple of its type's expected boot time.
+  double boot_timeout_factor = 4;
   std::uint32_t headroom = 1;      // spare replicas of each recent service image
   Seconds headroom_duration{600};  // how long they are kept after the last arrival
   Seconds spot_idle_timeout{90};   // how long idle spot machines are kept for recent array classes
--- a/tests/planning_cost_test.cc
+++ b/tests/planning_cost_test.cc
@@ -18,37 +18,37 @@
   constexpr std::uint32_t kMachines = 2000;
   constexpr std::uint32_t kTasks = 3000;
   constexpr std::uint32_t kJobs = 30;
-  TestController& node = AddController("n0");
+  TestController& controller = AddController("n0");
   for (std::uint32_t i = 0; i < kMachines; ++i) AddWorker("m-" + std::to_string(i));
-  ASSERT_TRUE(node.TakeOver(now));
-  for (FakeWorker& worker : workers_) Heartbeat(node, worker);
+  ASSERT_TRUE(controller.TakeOver(now));
+  for (FakeWorker& worker : workers_) Heartbeat(controller, worker);
   for (std::uint32_t j = 1; j <= kJobs; ++j) {
     JobSpec spec = MakeJob("j-" + std::to_string(j), kTasks / kJobs);
     spec.deadline = Seconds{1000};
-    Run(node, spec);
+    Run(controller, spec);
   }
-  node.core.Tick(now, wall);
-  EXPECT_EQ(node.core.GetStatus().bound, kTasks);
-  EXPECT_LE(node.core.GetStatus().candidates_evaluated, kMachines + kTasks);
+  controller.core.Tick(now, wall);
+  EXPECT_EQ(controller.core.GetStatus().bound, kTasks);
+  EXPECT_LE(controller.core.GetStatus().candidates_evaluated, kMachines + kTasks);
 }
 
 // Jobs with more task sizes and images than there are candidate indexes are still placed, and
 // capacity that one job uses is not given again to a job that uses an older index.
 TEST_F(PlanningCostTest, MoreTaskShapesThanCandidateIndexesShareMachines) {
   constexpr std::uint32_t kJobs = 50;
-  TestController& node = AddController("n0");
+  TestController& controller = AddController("n0");
   for (std::uint32_t i = 0; i < 10; ++i) AddWorker("m-" + std::to_string(i));
-  ASSERT_TRUE(node.TakeOver(now));
-  for (FakeWorker& worker : workers_) Heartbeat(node, worker);
+  ASSERT_TRUE(controller.TakeOver(now));
+  for (FakeWorker& worker : workers_) Heartbeat(controller, worker);
   for (std::uint32_t j = 0; j < kJobs; ++j) {
     JobSpec spec = MakeJob("j-" + std::to_string(j), 2);
     spec.image = "img-" + std::to_string(j % 25);
     spec.per_task.cpus = 1 + j % 3;
     spec.per_task.memory_gb = 1;
-    Run(node, spec);
+    Run(controller, spec);
   }
-  node.core.Tick(now, wall);
-  Settle(node);
+  controller.core.Tick(now, wall);
+  Settle(controller);
   const double kMachineCpus = 4;  // of a small machine
   for (FakeWorker& worker : workers_) {
     double used = 0;
@@ -110,40 +110,40 @@
 TEST_F(PlanningCostTest, IdleTickInspectsNoMachine) {
   constexpr std::uint32_t kMachines = 400;
   constexpr std::uint32_t kTicks = 12;  // of 0.25 s: one heartbeat interval
-  TestController& node = AddController("n0");
+  TestController& controller = AddController("n0");
   for (std::uint32_t i = 0; i < kMachines; ++i) AddWorker("m-" + std::to_string(i));
-  ASSERT_TRUE(node.TakeOver(now));
-  for (FakeWorker& worker : workers_) Heartbeat(node, worker);
-  Run(node, MakeJob("j-1", 2 * kMachines));
-  Settle(node);
+  ASSERT_TRUE(controller.TakeOver(now));
+  for (FakeWorker& worker : workers_) Heartbeat(controller, worker);
+  Run(controller, MakeJob("j-1", 2 * kMachines));
+  Settle(controller);
   ASSERT_EQ(CountLiveTasks(), 2U * kMachines) << "no machine is idle";
-  RunCloud(node);
+  RunCloud(controller);
   const auto run_tick = [&](std::uint32_t tick) {
     std::uint32_t i = 0;
     for (FakeWorker& worker : workers_)
-      if (i++ % kTicks == tick % kTicks) Heartbeat(node, worker);
+      if (i++ % kTicks == tick % kTicks) Heartbeat(controller, worker);
     AdvanceTime(0.25);
-    node.core.Tick(now, wall);
-    EXPECT_FALSE(node.core.NextProbe(now));
+    controller.core.Tick(now, wall);
+    EXPECT_FALSE(controller.core.NextProbe(now));
   };
   for (std::uint32_t tick = 0; tick < kTicks; ++tick) run_tick(tick);
-  const SchedulerStatus before = node.core.GetStatus();
+  const SchedulerStatus before = controller.core.GetStatus();
   for (std::uint32_t tick = 0; tick < 2 * kTicks; ++tick) run_tick(tick);
-  EXPECT_EQ(node.core.GetStatus().machines_inspected, before.machines_inspected);
+  EXPECT_EQ(controller.core.GetStatus().machines_inspected, before.machines_inspected);
 
   // Only a machine that stops sending heartbeats is inspected.
   unresponsive_workers_.insert(workers_.front().id());
   AdvanceTime(0.1);
   for (FakeWorker& worker : workers_)
-    if (!unresponsive_workers_.contains(worker.id())) Heartbeat(node, worker);
+    if (!unresponsive_workers_.contains(worker.id())) Heartbeat(controller, worker);
   AdvanceTime(4.5);
   for (FakeWorker& worker : workers_)
-    if (!unresponsive_workers_.contains(worker.id())) Heartbeat(node, worker);
-  node.core.Tick(now, wall);
-  const auto probe = node.core.NextProbe(now);
+    if (!unresponsive_workers_.contains(worker.id())) Heartbeat(controller, worker);
+  controller.core.Tick(now, wall);
+  const auto probe = controller.core.NextProbe(now);
   ASSERT_TRUE(probe);
   EXPECT_EQ(probe->machine, workers_.front().id());
-  EXPECT_LE(node.core.GetStatus().machines_inspected - before.machines_inspected, 8U);
+  EXPECT_LE(controller.core.GetStatus().machines_inspected - before.machines_inspected, 8U);
 }
 
 TEST(HeartbeatIndexTest, SeparatesLateMachinesAndCountsThemByZone) {
@@ -175,50 +175,50 @@
 TEST_F(PlanningCostTest, FullClusterGetsOneFullRoundPerSecond) {
   constexpr int kMachines = 20;
   constexpr int kWaitingJobs = 50;
-  TestController& node = AddController("n0");
+  TestController& controller = AddController("n0");
   for (int i = 0; i < kMachines; ++i) AddWorker("m-" + std::to_string(i));
-  ASSERT_TRUE(node.TakeOver(now));
-  Settle(node);
-  Run(node, MakeJob("j-1", 2 * kMachines));
-  for (int j = 2; j < 2 + kWaitingJobs; ++j) Run(node, MakeJob("j-" + std::to_string(j)));
-  Settle(node);
+  ASSERT_TRUE(controller.TakeOver(now));
+  Settle(controller);
+  Run(controller, MakeJob("j-1", 2 * kMachines));
+  for (int j = 2; j < 2 + kWaitingJobs; ++j) Run(controller, MakeJob("j-" + std::to_string(j)));
+  Settle(controller);
   ASSERT_EQ(CountLiveTasks(), 2U * kMachines) << "all machines are full";
   AdvanceTime(2);
-  node.core.Tick(now, wall);
-  const SchedulerStatus full = node.core.GetStatus();
+  controller.core.Tick(now, wall);
+  const SchedulerStatus full = controller.core.GetStatus();
   AdvanceTime(0.1);
-  node.core.Tick(now, wall);
-  EXPECT_EQ(node.core.GetStatus().jobs_planned, full.jobs_planned);
-  EXPECT_EQ(node.core.GetStatus().candidates_evaluated, full.candidates_evaluated);
+  controller.core.Tick(now, wall);
+  EXPECT_EQ(controller.core.GetStatus().jobs_planned, full.jobs_planned);
+  EXPECT_EQ(controller.core.GetStatus().candidates_evaluated, full.candidates_evaluated);
 
   // Two ended tasks free capacity for two tasks, and at most two jobs are planned for it.
   FakeWorker& worker = workers_.front();
   worker.EndAll(ExitReason::kDone);
-  Heartbeat(node, worker);
+  Heartbeat(controller, worker);
   AdvanceTime(0.1);
-  node.core.Tick(now, wall);
-  EXPECT_LE(node.core.GetStatus().jobs_planned, full.jobs_planned + 2);
-  EXPECT_EQ(node.core.GetStatus().pending, static_cast<std::size_t>(kWaitingJobs - 2));
+  controller.core.Tick(now, wall);
+  EXPECT_LE(controller.core.GetStatus().jobs_planned, full.jobs_planned + 2);
+  EXPECT_EQ(controller.core.GetStatus().pending, static_cast<std::size_t>(kWaitingJobs - 2));
   AdvanceTime(1);
-  node.core.Tick(now, wall);
-  EXPECT_GE(node.core.GetStatus().jobs_planned, full.jobs_planned + kWaitingJobs - 2);
+  controller.core.Tick(now, wall);
+  EXPECT_GE(controller.core.GetStatus().jobs_planned, full.jobs_planned + kWaitingJobs - 2);
 }
 
 TEST_F(PlanningCostTest, ManyPollsShareOneRead) {
-  TestController& node = AddController("n0");
-  ASSERT_EQ(Submit(node, MakeJob("j-1")), 201);
+  TestController& controller = AddController("n0");
+  ASSERT_EQ(Submit(controller, MakeJob("j-1")), 201);
   JobCache cache(store, Seconds{0}, {[] { return Instant{1}; }, [](Seconds) {}});
   ASSERT_TRUE(cache.Find({"j-1"}).live.has_value());
   const int commits = store.commits;
   const int watches = store.watches;
-  ASSERT_EQ(node.api.Cancel("j-1").status, 200);
+  ASSERT_EQ(controller.api.Cancel("j-1").status, 200);
   EXPECT_TRUE(cache.Find({"j-1"}).live->cancelled) << "later changes are visible";
   EXPECT_FALSE(cache.Find({"j-2"}).live.has_value());
   EXPECT_LE(store.watches - watches, 3);
   EXPECT_EQ(store.commits - commits, 2) << "two for the cancellation, and none for polls";
-  ASSERT_EQ(Submit(node, MakeJob("j-3")), 201);
-  store.compacted_before =
-      store.current_revision();  // the changes are no longer available, so the cache reads again
+  ASSERT_EQ(Submit(controller, MakeJob("j-3")), 201);
+  // The changes are no longer available, so the cache reads all records again.
+  store.compacted_before = store.current_revision();
   EXPECT_TRUE(cache.Find({"j-3"}).live.has_value());
   store.outage = true;
   EXPECT_FALSE(cache.Find({"j-1"}).store_reachable) << "an unverified state is not returned";
--- a/tests/reachability_test.cc
+++ b/tests/reachability_test.cc
@@ -9,10 +9,10 @@
 namespace {
 
 // Fails all probes to be sent now; returns their number.
-int FailProbes(TestController& node, Instant now) {
+int FailProbes(TestController& controller, Instant now) {
   int failed = 0;
-  for (; auto probe = node.core.NextProbe(now); ++failed)
-    node.core.OnDirectCommandResult(*probe, DeliveryStatus::kNotSent, std::nullopt, now);
+  for (; auto probe = controller.core.NextProbe(now); ++failed)
+    controller.core.OnDirectCommandResult(*probe, DeliveryStatus::kNotSent, std::nullopt, now);
   return failed;
 }
 
@@ -63,93 +63,93 @@
 // Guards against a leader that resigns while its lease is still valid: a burst of submissions made
 // the key-value store refuse renewals.
 TEST_F(ReachabilityTest, RefusedRenewalDoesNotEndLeadership) {
-  TestController& node = AddController("n0");
-  ASSERT_TRUE(node.TakeOver(now));
-  const auto before = node.election.view().leadership;
+  TestController& controller = AddController("n0");
+  ASSERT_TRUE(controller.TakeOver(now));
+  const auto before = controller.election.view().leadership;
   store.outage = true;
-  EXPECT_FALSE(node.election.Step().store_reachable);
-  EXPECT_EQ(node.election.view().leadership, before);
+  EXPECT_FALSE(controller.election.Step().store_reachable);
+  EXPECT_EQ(controller.election.view().leadership, before);
   store.outage = false;
-  EXPECT_TRUE(node.election.Step().store_reachable);
-  EXPECT_EQ(node.election.view().leadership, before);
+  EXPECT_TRUE(controller.election.Step().store_reachable);
+  EXPECT_EQ(controller.election.view().leadership, before);
 }
 
 // Guards against placing several tasks on a faulty machine before it is excluded. Found in a run in
 // which many machines failed all their tasks.
 TEST_F(ReachabilityTest, SingleFailureOfHealthyJobReleasesMachine) {
-  TestController& node = AddController("n0");
+  TestController& controller = AddController("n0");
   FakeWorker& first = AddWorker("m-1");
   FakeWorker& second = AddWorker("m-2");
-  ASSERT_TRUE(node.TakeOver(now));
-  Settle(node);
-  Run(node, MakeJob("j-1", 1));
-  Settle(node);
+  ASSERT_TRUE(controller.TakeOver(now));
+  Settle(controller);
+  Run(controller, MakeJob("j-1", 1));
+  Settle(controller);
   FakeWorker& failed_worker = first.LiveTaskCount() > 0 ? first : second;
   failed_worker.EndAll(ExitReason::kError);
-  Heartbeat(node, failed_worker);
-  node.core.Tick(now, wall);
-  EXPECT_TRUE(ReleasedMachines(RunCloud(node)).empty()) << "the job may be at fault";
+  Heartbeat(controller, failed_worker);
+  controller.core.Tick(now, wall);
+  EXPECT_TRUE(ReleasedMachines(RunCloud(controller)).empty()) << "the job may be at fault";
   AdvanceTime(3);  // until the machine is no longer suspected
-  Settle(node);
-  Run(node, MakeJob("j-2", 3));
-  Settle(node);
+  Settle(controller);
+  Run(controller, MakeJob("j-2", 3));
+  Settle(controller);
   FakeWorker& faulty = first.HasLiveTask(TaskOf("j-2", 0)) ? first : second;
   FakeWorker& healthy = &faulty == &first ? second : first;
   ASSERT_GT(healthy.LiveTaskCount(), 0U);
   faulty.EndAll(ExitReason::kError);
   healthy.EndAll(ExitReason::kDone);
-  Settle(node, 1);
-  Settle(node, 1);
-  EXPECT_EQ(ReleasedMachines(RunCloud(node)), std::set<MachineId>{faulty.id()});
+  Settle(controller, 1);
+  Settle(controller, 1);
+  EXPECT_EQ(ReleasedMachines(RunCloud(controller)), std::set<MachineId>{faulty.id()});
 }
 
 // A machine that misses a heartbeat and does not answer two probes has failed, unless no heartbeats
 // arrive from its zone. Guards against late releases: 72 machines that failed at once were released
 // only after many heartbeat intervals.
 TEST_F(ReachabilityTest, FailedMachineIsDistinguishedFromPartitionedZone) {
-  TestController& node = AddController("n0");
+  TestController& controller = AddController("n0");
   for (int i = 0; i < 6; ++i) AddWorker("m-" + std::to_string(i));
-  ASSERT_TRUE(node.TakeOver(now));
-  Settle(node);
-  Run(node, MakeJob("j-1", 12));
-  Settle(node);
+  ASSERT_TRUE(controller.TakeOver(now));
+  Settle(controller);
+  Run(controller, MakeJob("j-1", 12));
+  Settle(controller);
   const MachineId failed_machine{"m-0"};
   unresponsive_workers_.insert(failed_machine);
   for (int i = 0; i < 8; ++i) {
     AdvanceTime(1);
-    FailProbes(node, now);
-    Settle(node, 1);
+    FailProbes(controller, now);
+    Settle(controller, 1);
   }
-  EXPECT_EQ(ReleasedMachines(RunCloud(node)), std::set<MachineId>{failed_machine});
+  EXPECT_EQ(ReleasedMachines(RunCloud(controller)), std::set<MachineId>{failed_machine});
   for (FakeWorker& worker : workers_) unresponsive_workers_.insert(worker.id());
   for (int i = 0; i < 10; ++i) {
     AdvanceTime(1);
-    FailProbes(node, now);
-    node.core.Tick(now, wall);
+    FailProbes(controller, now);
+    controller.core.Tick(now, wall);
   }
-  EXPECT_TRUE(ReleasedMachines(RunCloud(node)).empty())
+  EXPECT_TRUE(ReleasedMachines(RunCloud(controller)).empty())
       << "no heartbeats from the whole zone mean a partition";
 }
 
 // Guards against a single relayed worker preventing the release of failed machines in its zone.
 // Found in the run with 72 failed machines.
 TEST_F(ReachabilityTest, SingleRelayedHeartbeatDoesNotSuspectZone) {
-  TestController& node = AddController("n0");
+  TestController& controller = AddController("n0");
   for (int i = 0; i < 12; ++i) AddWorker("m-" + std::to_string(10 + i));
-  ASSERT_TRUE(node.TakeOver(now));
-  Settle(node);
-  Run(node, MakeJob("j-1", 24));
-  Settle(node);
+  ASSERT_TRUE(controller.TakeOver(now));
+  Settle(controller);
+  Run(controller, MakeJob("j-1", 24));
+  Settle(controller);
   const MachineId failed_machine{"m-10"};
   unresponsive_workers_.insert(failed_machine);
   for (int i = 0; i < 8; ++i) {
     AdvanceTime(1);
-    FailProbes(node, now);
-    workers_.back().Deliver(node.core.OnHeartbeat(workers_.back().Snapshot(), now, true));
+    FailProbes(controller, now);
+    workers_.back().Deliver(controller.core.OnHeartbeat(workers_.back().Snapshot(), now, true));
     unresponsive_workers_.insert(workers_.back().id());
-    Settle(node, 1);
+    Settle(controller, 1);
   }
-  EXPECT_TRUE(ReleasedMachines(RunCloud(node)).contains(failed_machine));
+  EXPECT_TRUE(ReleasedMachines(RunCloud(controller)).contains(failed_machine));
 }
 
 // Guards against releasing working machines when the leader's zone and another one are partitioned
@@ -157,24 +157,24 @@
 // first relayed heartbeats of the zone arrived.
 TEST_F(ReachabilityTest, PartitionedZoneIsKeptWhenFirstHeartbeatsAreRelayed) {
   constexpr int kMachines = 30;
-  TestController& node = AddController("n0");
+  TestController& controller = AddController("n0");
   for (int i = 0; i < kMachines; ++i) AddWorker("m-" + std::to_string(10 + i));
-  ASSERT_TRUE(node.TakeOver(now));
-  Settle(node);
-  Run(node, MakeJob("j-1", 2 * kMachines));
-  Settle(node);
+  ASSERT_TRUE(controller.TakeOver(now));
+  Settle(controller);
+  Run(controller, MakeJob("j-1", 2 * kMachines));
+  Settle(controller);
   for (FakeWorker& worker : workers_) unresponsive_workers_.insert(worker.id());
   for (int i = 0; i < 16; ++i) {
     AdvanceTime(1);
-    while (FailProbes(node, now) > 0) {
+    while (FailProbes(controller, now) > 0) {
     }
     if (i >= 5) {
       FakeWorker& worker = workers_.back();
-      worker.Deliver(node.core.OnHeartbeat(worker.Snapshot(), now, true));
+      worker.Deliver(controller.core.OnHeartbeat(worker.Snapshot(), now, true));
     }
-    node.core.Tick(now, wall);
+    controller.core.Tick(now, wall);
   }
-  EXPECT_TRUE(ReleasedMachines(RunCloud(node)).empty());
+  EXPECT_TRUE(ReleasedMachines(RunCloud(controller)).empty());
 }
 
 // Guards against slow detection of mass failures: 161 machines that hung at once were found one by
@@ -183,12 +183,12 @@
   constexpr int kMachines = 30;
   Scheduler::Options options = DefaultOptions();
   options.heartbeat_interval = {10};
-  TestController& node = controllers_.emplace_back(store, "n0", options);
+  TestController& controller = controllers_.emplace_back(store, "n0", options);
   for (int i = 0; i < kMachines; ++i) AddWorker("m-" + std::to_string(i));
-  ASSERT_TRUE(node.TakeOver(now));
+  ASSERT_TRUE(controller.TakeOver(now));
   int heartbeats_sent = 0;
   for (FakeWorker& worker : workers_) {  // half a second apart
-    Heartbeat(node, worker);
+    Heartbeat(controller, worker);
     AdvanceTime(++heartbeats_sent % 2 == 0 ? 0.5 : 0);
   }
   // All machines hang. The first ones are late at 13.3 s, the last one 7 s later.
@@ -196,7 +196,7 @@
   int probed = 0;
   for (int step = 0; step < 8; ++step) {
     AdvanceTime(0.25);
-    probed += FailProbes(node, now);
+    probed += FailProbes(controller, now);
   }
   EXPECT_GE(probed, kMachines * 2 / 3) << "machines without heartbeats for 4 s are probed early";
 }
--- a/tests/team_guarantee_test.cc
+++ b/tests/team_guarantee_test.cc
@@ -13,27 +13,27 @@
 TEST_F(TeamGuaranteeTest, GuaranteedWorkStartsOnMachineWithImage) {
   Scheduler::Options options = DefaultOptions();
   options.objectives = {{"guarantee", "", {5}, 0.9, 1}};
-  TestController& node = controllers_.emplace_back(store, "n0", options);
+  TestController& controller = controllers_.emplace_back(store, "n0", options);
   FakeWorker& large = AddWorker("m-1", "large");
-  ASSERT_TRUE(node.TakeOver(now));
-  Settle(node);
+  ASSERT_TRUE(controller.TakeOver(now));
+  Settle(controller);
   JobSpec first = MakeJob("j-1");
   first.image_gb = 8;
-  Run(node, first);
-  Settle(node);
+  Run(controller, first);
+  Settle(controller);
   large.EndAll(ExitReason::kDone);
-  Settle(node);
+  Settle(controller);
   FakeWorker& small = AddWorker("m-2", "small");  // without the image
-  Heartbeat(node, small);
+  Heartbeat(controller, small);
   for (const char* team : {"blue", "red"}) {
     JobSpec spec = MakeJob(team == std::string("blue") ? "j-2" : "j-3");
     spec.team = team;
     spec.image_gb = 8;
     spec.deadline = Seconds{1000};
-    Run(node, spec);
+    Run(controller, spec);
   }
   AdvanceTime(2);
-  Settle(node);
+  Settle(controller);
   EXPECT_TRUE(large.HasLiveTask(TaskOf("j-2"))) << "the team has a guarantee";
   EXPECT_TRUE(small.HasLiveTask(TaskOf("j-3")))
       << "the team without a guarantee may wait for the image";
@@ -45,19 +45,19 @@
   Scheduler::Options options = DefaultOptions();
   options.teams = {{"blue", 8, 0, 0, 0}, {"green", 8, 0, 0, 0}};
   options.objectives = {{"guarantee", "", {5}, 0.9, 1}};
-  TestController& node = controllers_.emplace_back(store, "n0", options);
+  TestController& controller = controllers_.emplace_back(store, "n0", options);
   FakeWorker& small = AddWorker("m-1");  // 4 CPUs, for two tasks
-  ASSERT_TRUE(node.TakeOver(now));
-  Settle(node);
+  ASSERT_TRUE(controller.TakeOver(now));
+  Settle(controller);
   JobSpec large = MakeJob("j-1", 5);  // 10 CPUs
   large.team = "blue";
   large.deadline = Seconds{40};
   JobSpec fits = MakeJob("j-2", 2);
   fits.team = "green";
   fits.deadline = Seconds{1000};
-  Run(node, large);
-  Run(node, fits);
-  Settle(node);
+  Run(controller, large);
+  Run(controller, fits);
+  Settle(controller);
   EXPECT_TRUE(small.HasLiveTask(TaskOf("j-2", 0)));
   EXPECT_TRUE(small.HasLiveTask(TaskOf("j-2", 1)));
 }
@@ -96,10 +96,10 @@
   Scheduler::Options options = DefaultOptions();
   options.teams = {{"blue", 4, 0, 0, 0}, {"green", 4, 0, 0, 0}};
   options.objectives = {{"guarantee", "", {5}, 0.9, 1}};
-  TestController& node = controllers_.emplace_back(store, "n0", options);
+  TestController& controller = controllers_.emplace_back(store, "n0", options);
   FakeWorker& small = AddWorker("m-1");  // for two tasks
-  ASSERT_TRUE(node.TakeOver(now));
-  Settle(node);
+  ASSERT_TRUE(controller.TakeOver(now));
+  Settle(controller);
   const auto job = [](const char* id, const char* team, double deadline, int tasks) {
     JobSpec spec = MakeJob(id, tasks);
     spec.team = team;
@@ -110,22 +110,22 @@
     const std::string first = "j-" + std::to_string(10 * round);
     const std::string second = "j-" + std::to_string(10 * round + 1);
     const std::string other = "j-" + std::to_string(10 * round + 2);
-    Run(node, job(first.c_str(), "blue", 1000, 2));
-    Settle(node);
+    Run(controller, job(first.c_str(), "blue", 1000, 2));
+    Settle(controller);
     ASSERT_TRUE(small.HasLiveTask(TaskOf(first)));
     if (round == 0)
       small.EndAll(ExitReason::kDone);
     else
-      ASSERT_EQ(node.api.Cancel(first).status, 200);
-    node.ReadJobs();
-    Settle(node);
-    Run(node, job(other.c_str(), "green", 40, 5));
-    Run(node, job(second.c_str(), "blue", 1000, 2));
-    Settle(node);
+      ASSERT_EQ(controller.api.Cancel(first).status, 200);
+    controller.ReadJobs();
+    Settle(controller);
+    Run(controller, job(other.c_str(), "green", 40, 5));
+    Run(controller, job(second.c_str(), "blue", 1000, 2));
+    Settle(controller);
     EXPECT_TRUE(small.HasLiveTask(TaskOf(second))) << "round " << round;
     for (int i = 0; i < 4; ++i) {
       small.EndAll(ExitReason::kDone);
-      Settle(node);
+      Settle(controller);
     }
   }
 }
@@ -135,21 +135,22 @@
 TEST_F(TeamGuaranteeTest, NoMachineIsProvisionedForGuaranteeShorterThanBootTime) {
   Scheduler::Options options = DefaultOptions();
   options.objectives = {{"guarantee", "", {5}, 0.9, 1}, {"wait", "sums", {250}, 0.9, 1}};
-  TestController& node = controllers_.emplace_back(store, "n0", options);
+  TestController& controller = controllers_.emplace_back(store, "n0", options);
   AddWorker("m-1");
-  ASSERT_TRUE(node.TakeOver(now));
-  Settle(node);
-  RunCloud(node);
+  ASSERT_TRUE(controller.TakeOver(now));
+  Settle(controller);
+  RunCloud(controller);
   JobSpec first = MakeJob("j-1", 2);
-  Run(node, first);
-  Settle(node);
+  Run(controller, first);
+  Settle(controller);
   ASSERT_EQ(CountLiveTasks(), 2U) << "no free capacity for 30 s";
   JobSpec spec = MakeJob("j-2");
   spec.team = "blue";
-  Run(node, spec);
+  Run(controller, spec);
   AdvanceTime(2);
-  Settle(node);
-  for (const CloudCall& call : RunCloud(node)) EXPECT_NE(call.kind, CloudCall::Kind::kProvision);
+  Settle(controller);
+  for (const CloudCall& call : RunCloud(controller))
+    EXPECT_NE(call.kind, CloudCall::Kind::kProvision);
 }
 
 }  // namespace
