--- a/tests/planning_cost_test.cc
+++ b/tests/planning_cost_test.cc
@@ -217,7 +217,7 @@
   EXPECT_LE(store.watches - watches, 3);
   EXPECT_EQ(store.commits - commits, 2) << "two for the cancellation, and none for polls";
   ASSERT_EQ(Submit(controller, MakeJob("j-3")), 201);
-  // The changes are no longer available, so the cache reads all records again.
+  // The changes are no longer available, so the cache reads from the store again.
   store.compacted_before = store.current_revision();
   EXPECT_TRUE(cache.Find({"j-3"}).live.has_value());
   store.outage = true;
