--- a/tests/team_guarantee_test.cc
+++ b/tests/team_guarantee_test.cc
@@ -1,4 +1,4 @@
-// A team's guaranteed resources: who may use them, and when they are free again.
+// Use of a team's guaranteed resources: which jobs may use them, and when they are freed.
 #include <gtest/gtest.h>
 
 #include "test_cluster.h"
@@ -8,62 +8,63 @@
 
 class TeamGuaranteeTest : public ClusterTest {};
 
-// Work within its team's guarantee waited for images on the smallest machines: its
-// class gave it all the time in the world, its guarantee 5 s.
-TEST_F(TeamGuaranteeTest, WorkWithinAGuaranteeStartsWhereItIsSoon) {
+// Guards against guaranteed work waiting for image fetches on the smallest machines: the targets of
+// its class were loose, but its guarantee required a start within 5 s.
+TEST_F(TeamGuaranteeTest, GuaranteedWorkStartsOnMachineWithImage) {
   Scheduler::Options options = DefaultOptions();
   options.objectives = {{"guarantee", "", {5}, 0.9, 1}};
-  TestController& node = controllers_.emplace_back(store, "n0", options);
+  TestController& controller = controllers_.emplace_back(store, "n0", options);
   FakeWorker& large = AddWorker("m-1", "large");
-  ASSERT_TRUE(node.TakeOver(now));
-  Settle(node);
+  ASSERT_TRUE(controller.TakeOver(now));
+  Settle(controller);
   JobSpec first = MakeJob("j-1");
   first.image_gb = 8;
-  Run(node, first);
-  Settle(node);
+  Run(controller, first);
+  Settle(controller);
   large.EndAll(ExitReason::kDone);
-  Settle(node);
+  Settle(controller);
   FakeWorker& small = AddWorker("m-2", "small");  // without the image
-  Heartbeat(node, small);
+  Heartbeat(controller, small);
   for (const char* team : {"blue", "red"}) {
     JobSpec spec = MakeJob(team == std::string("blue") ? "j-2" : "j-3");
     spec.team = team;
     spec.image_gb = 8;
     spec.deadline = Seconds{1000};
-    Run(node, spec);
+    Run(controller, spec);
   }
   AdvanceTime(2);
-  Settle(node);
-  EXPECT_TRUE(large.HasLiveTask(TaskOf("j-2"))) << "of the team with a guarantee";
-  EXPECT_TRUE(small.HasLiveTask(TaskOf("j-3"))) << "the other may wait for the image";
+  Settle(controller);
+  EXPECT_TRUE(large.HasLiveTask(TaskOf("j-2"))) << "the team has a guarantee";
+  EXPECT_TRUE(small.HasLiveTask(TaskOf("j-3")))
+      << "the team without a guarantee may wait for the image";
 }
 
-// A large array that does not fit into its team's guarantee took the room before
-// jobs that do: all tasks counted as guaranteed while their team used little.
-TEST_F(TeamGuaranteeTest, JobsWholeWithinAGuaranteeGoBeforeOthers) {
+// Guards against a large array that exceeds its team's guarantee being placed before jobs that lie
+// within theirs: all its tasks counted as guaranteed while the team used little.
+TEST_F(TeamGuaranteeTest, JobsEntirelyWithinGuaranteePrecedeOthers) {
   Scheduler::Options options = DefaultOptions();
   options.teams = {{"blue", 8, 0, 0, 0}, {"green", 8, 0, 0, 0}};
   options.objectives = {{"guarantee", "", {5}, 0.9, 1}};
-  TestController& node = controllers_.emplace_back(store, "n0", options);
-  FakeWorker& small = AddWorker("m-1");  // of 4 CPUs: two tasks
-  ASSERT_TRUE(node.TakeOver(now));
-  Settle(node);
+  TestController& controller = controllers_.emplace_back(store, "n0", options);
+  FakeWorker& small = AddWorker("m-1");  // 4 CPUs, for two tasks
+  ASSERT_TRUE(controller.TakeOver(now));
+  Settle(controller);
   JobSpec large = MakeJob("j-1", 5);  // 10 CPUs
   large.team = "blue";
   large.deadline = Seconds{40};
   JobSpec fits = MakeJob("j-2", 2);
   fits.team = "green";
   fits.deadline = Seconds{1000};
-  Run(node, large);
-  Run(node, fits);
-  Settle(node);
+  Run(controller, large);
+  Run(controller, fits);
+  Settle(controller);
   EXPECT_TRUE(small.HasLiveTask(TaskOf("j-2", 0)));
   EXPECT_TRUE(small.HasLiveTask(TaskOf("j-2", 1)));
 }
 
-// What counts are the team's earlier jobs, whatever order they are loaded in: a
-// leader that takes over must not take the later job for the one within.
-TEST_F(TeamGuaranteeTest, EarlierJobsTakeTheGuaranteeAfterATakeoverToo) {
+// A team's guarantee covers its earlier jobs, in whatever order they are loaded. A new leader must
+// not give the guarantee to a later job.
+TEST_F(TeamGuaranteeTest, EarlierJobsClaimGuaranteeAfterTakeover) {
   Scheduler::Options options = DefaultOptions();
   options.teams = {{"blue", 4, 0, 0, 0}, {"green", 0, 0, 0, 0}};
   options.objectives = {{"guarantee", "", {5}, 0.9, 1}};
@@ -87,18 +88,18 @@
   const WriteBatch plan = core.NextWriteBatch(now);
   ASSERT_EQ(plan.puts.size(), 1U);
   ASSERT_EQ(plan.puts.front().records.size(), 2U);
-  for (const RecordPageEntry& r : plan.puts.front().records) EXPECT_EQ(r.job, early.id);
+  for (const RecordPageEntry& record : plan.puts.front().records) EXPECT_EQ(record.job, early.id);
 }
 
-// What a job claims of its team's guarantee must not stay claimed for ever.
-TEST_F(TeamGuaranteeTest, GuaranteeIsFreeOnceItsJobIsDoneOrCancelled) {
+// Guards against claims on a team's guarantee that outlive their jobs.
+TEST_F(TeamGuaranteeTest, GuaranteeIsFreedWhenJobIsDoneOrCancelled) {
   Scheduler::Options options = DefaultOptions();
   options.teams = {{"blue", 4, 0, 0, 0}, {"green", 4, 0, 0, 0}};
   options.objectives = {{"guarantee", "", {5}, 0.9, 1}};
-  TestController& node = controllers_.emplace_back(store, "n0", options);
+  TestController& controller = controllers_.emplace_back(store, "n0", options);
   FakeWorker& small = AddWorker("m-1");  // for two tasks
-  ASSERT_TRUE(node.TakeOver(now));
-  Settle(node);
+  ASSERT_TRUE(controller.TakeOver(now));
+  Settle(controller);
   const auto job = [](const char* id, const char* team, double deadline, int tasks) {
     JobSpec spec = MakeJob(id, tasks);
     spec.team = team;
@@ -109,46 +110,47 @@
     const std::string first = "j-" + std::to_string(10 * round);
     const std::string second = "j-" + std::to_string(10 * round + 1);
     const std::string other = "j-" + std::to_string(10 * round + 2);
-    Run(node, job(first.c_str(), "blue", 1000, 2));
-    Settle(node);
+    Run(controller, job(first.c_str(), "blue", 1000, 2));
+    Settle(controller);
     ASSERT_TRUE(small.HasLiveTask(TaskOf(first)));
     if (round == 0)
       small.EndAll(ExitReason::kDone);
     else
-      ASSERT_EQ(node.api.Cancel(first).status, 200);
-    node.ReadJobs();
-    Settle(node);
-    Run(node, job(other.c_str(), "green", 40, 5));
-    Run(node, job(second.c_str(), "blue", 1000, 2));
-    Settle(node);
+      ASSERT_EQ(controller.api.Cancel(first).status, 200);
+    controller.ReadJobs();
+    Settle(controller);
+    Run(controller, job(other.c_str(), "green", 40, 5));
+    Run(controller, job(second.c_str(), "blue", 1000, 2));
+    Settle(controller);
     EXPECT_TRUE(small.HasLiveTask(TaskOf(second))) << "round " << round;
     for (int i = 0; i < 4; ++i) {
       small.EndAll(ExitReason::kDone);
-      Settle(node);
+      Settle(controller);
     }
   }
 }
 
-// On the first mechelen site a 64-CPU machine was rented so that work within a
-// guarantee might start in 5 s, which none that has to boot can.
-TEST_F(TeamGuaranteeTest, NothingIsRentedForAGuaranteeThatNoBootCanMeet) {
+// Guards against provisioning a machine for a guarantee that no booting machine can meet. On the
+// first mechelen site a 64-CPU machine was rented so that guaranteed work might start within 5 s.
+TEST_F(TeamGuaranteeTest, NoMachineIsProvisionedForGuaranteeShorterThanBootTime) {
   Scheduler::Options options = DefaultOptions();
   options.objectives = {{"guarantee", "", {5}, 0.9, 1}, {"wait", "sums", {250}, 0.9, 1}};
-  TestController& node = controllers_.emplace_back(store, "n0", options);
+  TestController& controller = controllers_.emplace_back(store, "n0", options);
   AddWorker("m-1");
-  ASSERT_TRUE(node.TakeOver(now));
-  Settle(node);
-  RunCloud(node);
+  ASSERT_TRUE(controller.TakeOver(now));
+  Settle(controller);
+  RunCloud(controller);
   JobSpec first = MakeJob("j-1", 2);
-  Run(node, first);
-  Settle(node);
-  ASSERT_EQ(CountLiveTasks(), 2U) << "no room for more for 30 s";
+  Run(controller, first);
+  Settle(controller);
+  ASSERT_EQ(CountLiveTasks(), 2U) << "no free capacity for 30 s";
   JobSpec spec = MakeJob("j-2");
   spec.team = "blue";
-  Run(node, spec);
+  Run(controller, spec);
   AdvanceTime(2);
-  Settle(node);
-  for (const CloudCall& call : RunCloud(node)) EXPECT_NE(call.kind, CloudCall::Kind::kProvision);
+  Settle(controller);
+  for (const CloudCall& call : RunCloud(controller))
+    EXPECT_NE(call.kind, CloudCall::Kind::kProvision);
 }
 
 }  // namespace
