--- a/src/controller/cloud_loop.cc
+++ b/src/controller/cloud_loop.cc
@@ -10,11 +10,11 @@
 namespace magpie {
 namespace {
 
-constexpr Seconds kFirstPause{0.3};  // after a failed call
-constexpr Seconds kMaxPause{5};
-// A release that was decided longer ago is not sent: while this process stood still another
-// controller may have become the leader, and may use the machines.
-constexpr Seconds kReleaseDecisionLifetime{1};
+constexpr Seconds kInitialRetryDelay{0.3};
+constexpr Seconds kMaxRetryDelay{5};
+// An older decision to release machines is dropped: if this process was suspended, another
+// controller may have become the leader and may be using the machines.
+constexpr Seconds kMaxReleaseDecisionAge{1};
 
 StepResult ResultOf(CloudStatus status) {
   return status == CloudStatus::kOk || status == CloudStatus::kNoCapacity ? StepResult::kSucceeded
@@ -28,7 +28,8 @@
 
 void CloudLoop::Start() {
   thread_ = std::jthread([this](const std::stop_token& stop) {
-    RepeatUntilStopped(stop, {kFirstPause, kMaxPause}, [&] { return MakeNextCall(stop); });
+    RepeatUntilStopped(stop, {kInitialRetryDelay, kMaxRetryDelay},
+                       [&] { return MakeNextCall(stop); });
   });
 }
 
@@ -92,7 +93,7 @@
 
 StepResult CloudLoop::Release(const CloudCall& call, Instant decided_at) {
   CloudStatus status = CloudStatus::kUnknown;
-  if (SteadyNow() - decided_at < kReleaseDecisionLifetime) status = cloud_.Release(call.release);
+  if (SteadyNow() - decided_at < kMaxReleaseDecisionAge) status = cloud_.Release(call.release);
   {
     std::scoped_lock lock(state_.mutex());
     if (status == CloudStatus::kOk) {
--- a/src/controller/cloud_loop.h
+++ b/src/controller/cloud_loop.h
@@ -1,4 +1,4 @@
-// The thread that makes the leader's calls to the cloud.
+// The thread that calls the cloud while this controller leads.
 #pragma once
 
 #include <optional>
@@ -13,25 +13,25 @@
 
 namespace magpie {
 
-// Lists, provisions and releases machines as the scheduler decides, within the cloud's rate.
+// Lists, provisions and releases machines as the scheduler decides, within the cloud's rate limit.
 class CloudLoop {
  public:
   struct Options {
     Seconds min_call_interval;
-    // A leader that the key-value store has not answered for so long may have been replaced: it
-    // makes no calls.
+    // No calls are made if the key-value store has not answered for this long, since another
+    // controller may have become the leader.
     Seconds leader_lease;
   };
 
   CloudLoop(LeaderState& state, CloudClient& cloud, Options options);
 
-  // Begins the thread. It ends with this object, once the present call has ended.
+  // Starts the thread. The destructor stops it and waits for the current call.
   void Start();
 
  private:
   StepResult MakeNextCall(const std::stop_token& stop);
-  std::optional<CloudCall> NextCall();  // with the mutex held
-  // These fail when the cloud did not answer as it should: the next call waits.
+  std::optional<CloudCall> NextCall();  // the caller holds the mutex
+  // These return kFailed if the cloud gave no valid answer; the next call is then delayed.
   StepResult MakeCall(const CloudCall& call, Instant decided_at);
   StepResult ListMachines();
   StepResult Provision(const CloudCall& call);
@@ -40,8 +40,8 @@
   LeaderState& state_;
   CloudClient& cloud_;
   Options options_;
-  std::optional<Instant> latest_call_;  // used by the thread alone
-  std::jthread thread_;                 // last: ends before what it uses
+  std::optional<Instant> latest_call_;  // used only by the thread
+  std::jthread thread_;  // declared last: joined before the other members are destroyed
 };
 
 }  // namespace magpie
--- a/src/controller/command_delivery.cc
+++ b/src/controller/command_delivery.cc
@@ -11,8 +11,8 @@
 namespace {
 
 constexpr Seconds kCommandTimeout{2};
-// A worker answers a probe within milliseconds. One that hangs takes the whole timeout, and a
-// hundred may hang at once.
+// A responsive worker answers a probe within milliseconds. A worker that hangs blocks a probe
+// thread for the whole timeout, and a hundred may hang at the same time.
 constexpr Seconds kProbeTimeout{1};
 
 }  // namespace
--- a/src/controller/command_delivery.h
+++ b/src/controller/command_delivery.h
@@ -1,4 +1,4 @@
-// Sends commands straight to workers.
+// Delivery of direct commands and probes to workers.
 #pragma once
 
 #include "controller/leader_state.h"
@@ -6,8 +6,8 @@
 
 namespace magpie {
 
-// Sends a direct command and tells the scheduler what became of it. Blocks on I/O, without the
-// mutex of `state`, for the timeout of the command at most. Any number of threads may call it.
+// Sends a direct command and passes its result to the scheduler. Blocks on I/O for at most the
+// timeout of the command, without holding the mutex of `state`. Thread safe.
 void DeliverCommand(LeaderState& state, const DirectCommand& command);
 
 }  // namespace magpie
--- a/src/controller/concurrency_limiter.h
+++ b/src/controller/concurrency_limiter.h
@@ -1,4 +1,4 @@
-// Bounds how many requests of users are in progress.
+// Limits the number of user requests in progress.
 #pragma once
 
 #include <atomic>
@@ -8,15 +8,15 @@
 
 namespace magpie {
 
-// What a user's request does: asks for a state, or submits or cancels.
+// A user's request either polls the state of a job or changes it (submission, cancellation).
 enum class RequestKind : std::uint8_t { kPoll, kChange };
 
-// Polls are refused before submissions and cancellations are. Thread safe.
+// Polls have a lower limit than changes, so that they are rejected first under load. Thread safe.
 class ConcurrencyLimiter {
  public:
   struct Limits {
     std::size_t max_requests = std::numeric_limits<std::size_t>::max();
-    std::size_t max_requests_for_poll = max_requests;  // that a poll may find, itself included
+    std::size_t max_requests_for_poll = max_requests;  // for polls
   };
   explicit ConcurrencyLimiter(Limits limits) : limits_(limits) {}
 
@@ -26,7 +26,7 @@
   std::atomic<std::size_t> in_progress_{0};
 };
 
-// Counts one request while it exists, refused ones included.
+// Counts one request during its lifetime, whether it is admitted or not.
 class RequestPermit {
  public:
   explicit RequestPermit(ConcurrencyLimiter& limiter)
@@ -43,7 +43,7 @@
 
  private:
   ConcurrencyLimiter& limiter_;
-  std::size_t in_progress_;  // when this one began, itself included
+  std::size_t in_progress_;  // when this request started, including itself
 };
 
 }  // namespace magpie
--- a/src/controller/control_key_watcher.cc
+++ b/src/controller/control_key_watcher.cc
@@ -17,17 +17,17 @@
 }
 
 StepResult ControlKeyWatcher::WatchOnce() {
-  if (watched_to_.value == 0) {
+  if (watched_revision_.value == 0) {
     const RangeResult range = store_.Range(records::kControlPrefix, "", 1);
     if (range.status != StoreStatus::kOk) return StepResult::kFailed;
-    watched_to_ = range.revision;
+    watched_revision_ = range.revision;
   }
-  const WatchResult watch = store_.Watch(records::kControlPrefix, watched_to_, kMaxWatchBlock);
+  const WatchResult watch = store_.Watch(records::kControlPrefix, watched_revision_, kWatchTimeout);
   if (watch.status != StoreStatus::kOk || watch.too_old) {
-    watched_to_ = {};
+    watched_revision_ = {};
     return StepResult::kFailed;
   }
-  watched_to_ = watch.revision;
+  watched_revision_ = watch.revision;
   if (!watch.events.empty()) on_change_();
   return StepResult::kSucceeded;
 }
--- a/src/controller/control_key_watcher.h
+++ b/src/controller/control_key_watcher.h
@@ -1,4 +1,4 @@
-// The thread that watches the keys of the election.
+// The thread that watches the control keys of the election.
 #pragma once
 
 #include <functional>
@@ -10,22 +10,22 @@
 
 namespace magpie {
 
-// Calls `on_change` whenever a control key (records::kControlPrefix) has changed.
+// Calls `on_change` after each change of a control key (prefix records::kControlPrefix).
 class ControlKeyWatcher {
  public:
   ControlKeyWatcher(KeyValueStore& store, std::function<void()> on_change);
 
-  // Begins the thread. It ends with this object, which may have to wait until a watch returns.
+  // Starts the thread. The destructor stops it and waits for the current watch to return.
   void Start();
 
  private:
-  // One watch, from the revision where the latest one ended.
+  // One watch, starting at the revision where the previous one ended.
   StepResult WatchOnce();
 
   KeyValueStore& store_;
   std::function<void()> on_change_;
-  Revision watched_to_;  // 0: to be read from the store. Used by the thread alone.
-  std::jthread thread_;  // last: ends before what it uses
+  Revision watched_revision_;  // 0: unknown, to be read. Used only by the thread.
+  std::jthread thread_;        // declared last: joined before the other members are destroyed
 };
 
 }  // namespace magpie
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -15,8 +15,8 @@
 constexpr Seconds kStoreTimeout{1.5};
 constexpr Seconds kCloudTimeout{5};
 
-// Tells this run of the process from earlier ones.
-std::string RunNonce() {
+// Distinguishes this run of the process from earlier ones.
+std::string RandomNonce() {
   std::random_device device;
   return std::to_string((static_cast<std::uint64_t>(device()) << 32U) | device());
 }
@@ -25,21 +25,21 @@
 
 Controller::Controller(const Settings& settings)
     : settings_(settings),
-      store_(settings.state, kStoreTimeout),
-      watch_store_(settings.state, kStoreTimeout),
-      cloud_(settings.cloud, kCloudTimeout),
-      peers_(settings.others),
+      store_(settings.store_address, kStoreTimeout),
+      watch_store_(settings.store_address, kStoreTimeout),
+      cloud_(settings.cloud_address, kCloudTimeout),
+      peers_(settings.peers),
       state_(LeaderStateOptions()),
       machine_types_(state_, cloud_),
       progress_(state_, peers_),
-      job_api_(store_, settings.teams, settings.zones, MinPollInterval(settings),
+      job_api_(store_, settings.teams, settings.zones, MinPollReadInterval(settings),
                SubmissionOptions(settings), JobApiHooks()),
       cancellations_(job_api_.cache(),
                      [this](const auto& cancellation) { OnCancellation(cancellation); }),
       broadcaster_(BroadcasterOptions(settings), BroadcasterHooks()),
       heartbeat_handler_(HeartbeatOptions(settings), state_.mutex(), state_.scheduler(),
                          state_.health(), cancellations_, HeartbeatHooks()),
-      election_(state_, {store_, settings.label, RunNonce(), settings.leader_lease},
+      election_(state_, {store_, settings.label, RandomNonce(), settings.leader_lease},
                 cancellations_),
       control_key_watcher_(watch_store_, [this] { election_.Wake(); }),
       takeover_(state_, store_, watch_store_),
@@ -58,8 +58,8 @@
                    PeerServerLimits()) {
   if (BroadcasterOptions(settings).acknowledge_only_when_final)
     spdlog::warn(
-        "cancellations reported when final only reason=\"cluster.workers.cancel_s is hardly more "
-        "than lease_s\"");
+        "early cancellation acknowledgement disabled reason=\"cluster.workers.cancel_s is too "
+        "close to lease_s\"");
 }
 
 LeaderState::Options Controller::LeaderStateOptions() {
@@ -74,7 +74,7 @@
   return {[this] { return machine_types_.types(); },
           [this](const JobId& job) { return progress_.Find(job); },
           WallNow,
-          [](Seconds mean) { SleepAbout(mean); },
+          [](Seconds mean) { SleepWithJitter(mean); },
           SteadyNow,
           [this](const JobId& job, Revision revision) {
             return broadcaster_.Broadcast(job, revision);
@@ -99,7 +99,8 @@
           }};
 }
 
-// This needs no key-value store, and each response to a worker repeats it until the tasks are gone.
+// Works without the key-value store. Each response to a worker repeats the stop commands until the
+// tasks have ended.
 void Controller::OnCancellation(const JobCache::Cancellation& cancellation) {
   std::scoped_lock lock(state_.mutex());
   if (!state_.scheduler().leading()) return;
@@ -121,7 +122,7 @@
     spdlog::error("listen failed setting=mesh_addr");
     return false;
   }
-  if (!user_server_.Start(settings_.api)) {
+  if (!user_server_.Start(settings_.api_address)) {
     spdlog::error("listen failed setting=api_addr");
     return false;
   }
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -1,4 +1,4 @@
-// One controller process: its parts and how they are connected.
+// The components of one controller process and their wiring.
 #pragma once
 
 #include <semaphore>
@@ -30,15 +30,15 @@
 
 namespace magpie {
 
-// Owns the parts, which share LeaderState and nothing else that changes without a lock of its own.
-// Destroying it stops the servers and the threads, in the reverse order of the members.
+// Owns the components. All mutable state that they share is in LeaderState or has a lock of its
+// own. The destructor stops the servers and the threads, in the reverse order of the members.
 class Controller {
  public:
   explicit Controller(const Settings& settings);
 
-  // Serves until Stop() is called. False when it can't listen on an address of the settings.
+  // Serves until Stop() is called. Returns false if it can't listen on a configured address.
   bool Run();
-  // Has Run() return. Any thread may call it.
+  // Makes Run() return. Thread safe.
   void Stop() { stopped_.release(); }
 
  private:
@@ -46,7 +46,7 @@
   JobApi::Hooks JobApiHooks();
   CancellationBroadcaster::Hooks BroadcasterHooks();
   HeartbeatHandler::Hooks HeartbeatHooks();
-  // A cancellation that users are about to be told of: if we lead, its tasks are stopped at once.
+  // If this controller leads, stops the job's tasks at once, before users see the cancellation.
   void OnCancellation(const JobCache::Cancellation& cancellation);
   bool Listen();
   void StartThreads();
@@ -55,7 +55,7 @@
   std::binary_semaphore stopped_{0};
 
   HttpKeyValueStore store_;
-  HttpKeyValueStore watch_store_;  // for the watches, which block
+  HttpKeyValueStore watch_store_;  // for watches, which block
   CloudClient cloud_;
   PeerClients peers_;
 
--- a/src/controller/controller_options.h
+++ b/src/controller/controller_options.h
@@ -1,4 +1,4 @@
-// What the settings mean for the parts of a controller.
+// Derives the options of a controller's components from its settings.
 #pragma once
 
 #include <cstddef>
@@ -18,13 +18,13 @@
 CancellationBroadcaster::Options BroadcasterOptions(const Settings& settings);
 HttpServer::Limits UserServerLimits(const Settings& settings);
 HttpServer::Limits PeerServerLimits();
-// The least time between two reads of the job cache.
-Seconds MinPollInterval(const Settings& settings);
-// The least time between two calls to the cloud.
+// The minimum time between two reads of the job cache.
+Seconds MinPollReadInterval(const Settings& settings);
+// The minimum time between two calls to the cloud.
 Seconds MinCloudCallInterval(const Settings& settings);
-// How many requests the users' server may have in progress at a time.
+// The limit of concurrent requests on the server for users and workers.
 std::size_t MaxConcurrentRequests(const Settings& settings);
-// How many machines may be probed at a time.
+// The number of machines that can be probed concurrently.
 std::size_t ProbeThreads(const Settings& settings);
 
 }  // namespace magpie
--- a/src/controller/direct_command_loop.h
+++ b/src/controller/direct_command_loop.h
@@ -1,4 +1,4 @@
-// The threads that send the scheduler's direct commands.
+// The threads that send direct commands to workers.
 #pragma once
 
 #include <optional>
@@ -11,14 +11,14 @@
 
 namespace magpie {
 
-// Sends commands to workers, several at a time.
+// Sends the scheduler's direct commands, up to kThreads concurrently.
 class DirectCommandLoop {
  public:
   static constexpr int kThreads = 12;
 
   DirectCommandLoop(LeaderState& state, CancellationRegistry& cancellations);
 
-  // Begins the threads. They end with this object, once the present commands are answered.
+  // Starts the threads. The destructor stops them and waits for the commands in progress.
   void Start();
 
  private:
@@ -26,7 +26,8 @@
 
   LeaderState& state_;
   CancellationRegistry& cancellations_;
-  std::vector<std::jthread> threads_;  // last: end before what they use
+  std::vector<std::jthread>
+      threads_;  // declared last: joined before the other members are destroyed
 };
 
 }  // namespace magpie
--- a/src/controller/election_loop.cc
+++ b/src/controller/election_loop.cc
@@ -12,9 +12,9 @@
 namespace {
 
 constexpr Seconds kStepInterval{1};
-constexpr Seconds kRetryInterval{0.25};  // while the store refuses us or the jobs are not loaded
+constexpr Seconds kRetryInterval{0.25};  // while the store fails or the jobs are not loaded
 constexpr Seconds kMaxRetryInterval{0.8};
-constexpr Seconds kPauseAfterWake{0.1};  // wake-ups come in bursts
+constexpr Seconds kWakeDebounce{0.1};  // wake-ups arrive in bursts
 
 }  // namespace
 
@@ -46,7 +46,7 @@
       election_.Resign();
       continue;
     }
-    // We may lead again only by a new epoch, which begins with loading all records.
+    // This controller may lead again only with a new epoch, which starts by loading all records.
     if (state_.IsRelinquished(view)) {
       if (!election_.Resign()) SleepFor(backoff.Next(ThreadRandom()), stop);
       continue;
@@ -65,7 +65,7 @@
                  [this] { return wake_requested_; });
   const bool woken = std::exchange(wake_requested_, false);
   lock.unlock();
-  if (woken) SleepAbout(kPauseAfterWake, stop);
+  if (woken) SleepWithJitter(kWakeDebounce, stop);
 }
 
 }  // namespace magpie
--- a/src/controller/election_loop.h
+++ b/src/controller/election_loop.h
@@ -1,4 +1,4 @@
-// The thread that takes part in the election of the leader.
+// The thread that takes part in the leader election.
 #pragma once
 
 #include <condition_variable>
@@ -12,16 +12,16 @@
 
 namespace magpie {
 
-// Steps the election about once a second, and whenever it is woken. Before each step it has the
-// cancellation registry load the jobs, so that whoever leads may renew leases from the first
-// heartbeat on.
+// Runs an election step about once a second and after each Wake(). Before each step it loads the
+// jobs into the cancellation registry if needed, so that a new leader may renew leases from the
+// first heartbeat on.
 class ElectionLoop {
  public:
   ElectionLoop(LeaderState& state, LeaderElection election, CancellationRegistry& cancellations);
 
-  // Begins the thread; it ends with this object.
+  // Starts the thread. The destructor stops it.
   void Start();
-  // Has the next step made at once. Any thread may call it.
+  // Triggers the next step without waiting for the interval. Thread safe.
   void Wake();
 
  private:
@@ -29,12 +29,12 @@
   void Wait(Seconds max_wait, const std::stop_token& stop);
 
   LeaderState& state_;
-  LeaderElection election_;  // used by the thread alone
+  LeaderElection election_;  // used only by the thread
   CancellationRegistry& cancellations_;
   std::mutex mutex_;  // guards wake_requested_
   std::condition_variable wake_;
   bool wake_requested_ = false;
-  std::jthread thread_;  // last: ends before what it uses
+  std::jthread thread_;  // declared last: joined before the other members are destroyed
 };
 
 }  // namespace magpie
--- a/src/controller/final_record_cache.h
+++ b/src/controller/final_record_cache.h
@@ -1,4 +1,4 @@
-// Records of jobs that are final, which never change.
+// A cache of final records, which never change.
 #pragma once
 
 #include <cstddef>
@@ -13,7 +13,7 @@
 
 namespace magpie {
 
-// Keeps the most recently used records. Thread safe.
+// Evicts the least recently used records. Thread safe.
 class FinalRecordCache {
  public:
   explicit FinalRecordCache(std::size_t max_records) : max_records_(max_records) {}
@@ -28,8 +28,8 @@
   using Entries = std::list<Entry>;
 
   std::size_t max_records_;
-  std::mutex mutex_;  // guards all below
-  Entries entries_;   // the latest used first
+  std::mutex mutex_;  // guards the members below
+  Entries entries_;   // most recently used first
   std::unordered_map<std::string, Entries::iterator> by_job_;
 };
 
--- a/src/controller/heartbeat_handler.cc
+++ b/src/controller/heartbeat_handler.cc
@@ -10,14 +10,14 @@
 namespace magpie {
 namespace {
 
-// 421 has a worker send its heartbeats elsewhere; without a leader's label, to any other member.
+// 421 redirects a worker to the named leader or, without a label, to any other controller.
 HttpResponse RedirectTo(const std::string& leader) {
   return {421, protocol::RedirectToJson(leader).dump()};
 }
 
-HttpResponse RedirectElsewhere() { return EmptyResponse(421); }
+HttpResponse RedirectToAnyPeer() { return EmptyResponse(421); }
 
-HttpResponse Renewed(const HeartbeatResponse& response) {
+HttpResponse RenewalResponse(const HeartbeatResponse& response) {
   return {200, protocol::HeartbeatResponseToJson(response.token, response.commands).dump()};
 }
 
@@ -49,7 +49,7 @@
     return ErrorResponse(400, "malformed report");
   }
   if (auto response = HandleAsLeader(heartbeat, route)) return *response;
-  if (route == HeartbeatRoute::kRelayed) return RedirectElsewhere();
+  if (route == HeartbeatRoute::kRelayed) return RedirectToAnyPeer();
   return Redirect(heartbeat, body);
 }
 
@@ -65,23 +65,23 @@
     leader_health_.OnDirectContact(now);
   scheduler_.AllowTaskStarts(cancellations_.Loaded());
   HeartbeatResponse response = scheduler_.OnHeartbeat(heartbeat, now, relayed);
-  if (response.redirect_to_leader) return RedirectElsewhere();
+  if (response.redirect_to_leader) return RedirectToAnyPeer();
   if (!response.accepted) {
     spdlog::debug("heartbeat rejected machine={} reason=later_token", heartbeat.machine.value);
     return std::nullopt;
   }
   hooks_.on_heartbeat_applied();
-  // The heartbeat is applied even if the lease must not be renewed.
+  // The scheduler has applied the heartbeat even if the lease must not be renewed.
   const auto completed = cancellations_.CompleteResponse(heartbeat, std::move(response));
   if (!completed) return ErrorResponse(503, "not covered");
-  return Renewed(*completed);
+  return RenewalResponse(*completed);
 }
 
 HttpResponse HeartbeatHandler::Redirect(const Heartbeat& heartbeat, const std::string& body) {
   const Redirection redirection = ChooseRedirection(heartbeat);
-  if (redirection.reply) return *redirection.reply;
+  if (redirection.renewal) return *redirection.renewal;
   if (redirection.leader.empty()) hooks_.on_no_leader();
-  if (!options_.others.contains(redirection.leader)) return EmptyResponse(503);
+  if (!options_.peers.contains(redirection.leader)) return EmptyResponse(503);
   if (!redirection.leader_unreachable) return RedirectTo(redirection.leader);
   return Relay(heartbeat, body, redirection.leader);
 }
@@ -91,18 +91,18 @@
   const ClusterView cluster_view = hooks_.cluster_view();
   Redirection redirection;
   if (!scheduler_.leading()) redirection.leader = cluster_view.leader;
-  // Nobody led when we lost the store: whoever leads by now, the worker has not reached it, and
-  // nobody else can tell it where to go.
+  // There was no leader when this controller lost the store. The worker has not reached a later
+  // leader, and this controller can't redirect it to one.
   if (redirection.leader.empty() && cluster_view.partitioned &&
       EpochOf(heartbeat.token) <= cluster_view.epoch) {
     if (const auto response = cancellations_.FollowerResponse(heartbeat)) {
-      redirection.reply = Renewed(*response);
+      redirection.renewal = RenewalResponse(*response);
       return redirection;
     }
   }
-  // A worker with the present leader's token comes from the leader, which it can't reach any more,
-  // though we may. And nobody is sent to a leader that we can't reach, or that we know of from
-  // before we lost the store.
+  // A worker with the current leader's token has lost its connection to the leader, but this
+  // controller may still reach the leader. Workers are also not redirected to a leader that this
+  // controller can't reach or that may have been replaced since the store became unreachable.
   redirection.leader_unreachable = EpochOf(heartbeat.token) == cluster_view.epoch ||
                                    cluster_view.partitioned || leader_reachability_.TimesOut();
   if (!redirection.leader_unreachable && !redirection.leader.empty())
@@ -128,9 +128,9 @@
       leader_reachability_.OnAnswer();
   }
   if (answer->status == 200) return {200, answer->body};
-  // The leader knows that the worker can reach it again.
+  // The leader's 421 means that the worker can reach the leader again.
   if (answer->status == 421) return RedirectTo(leader);
-  return RedirectElsewhere();
+  return RedirectToAnyPeer();
 }
 
 std::optional<HttpAnswer> HeartbeatHandler::TryRelay(const Heartbeat& heartbeat,
@@ -150,8 +150,9 @@
   const ClusterView cluster_view = hooks_.cluster_view();
   if (leader_reachability_.MayRenewLease(heartbeat.token, cluster_view.epoch,
                                          cluster_view.partitioned, now))
-    if (const auto response = cancellations_.FollowerResponse(heartbeat)) return Renewed(*response);
-  return RedirectElsewhere();
+    if (const auto response = cancellations_.FollowerResponse(heartbeat))
+      return RenewalResponse(*response);
+  return RedirectToAnyPeer();
 }
 
 }  // namespace magpie
--- a/src/controller/heartbeat_handler.h
+++ b/src/controller/heartbeat_handler.h
@@ -1,4 +1,4 @@
-// Answers workers' heartbeats.
+// Handles workers' heartbeats.
 #pragma once
 
 #include <cstdint>
@@ -18,53 +18,54 @@
 
 namespace magpie {
 
-// The leader answers a heartbeat from the scheduler. A follower sends the worker to the leader; if
-// the worker can't reach it, relays the heartbeat; if the follower can't reach it either, renews
-// the worker's lease in the leader's stead.
+// The leader passes a heartbeat to its scheduler and returns the response. A follower redirects the
+// worker to the leader. If the worker can't reach the leader, the follower relays the heartbeat; if
+// the follower can't reach the leader either, it renews the worker's lease itself.
 //
-// A 200 of this controller is made by CancellationRegistry alone; a relayed one was made by that
-// of the leader.
+// Only CancellationRegistry creates a 200 response: that of this controller or, for a relayed
+// heartbeat, that of the leader.
 //
 // Thread safe. Blocks on I/O while it relays.
 class HeartbeatHandler {
  public:
-  // What is known of the leadership, as the key-value store told it last.
+  // The leadership according to the latest answer of the key-value store.
   struct ClusterView {
-    std::string leader;  // empty: nobody leads
+    std::string leader;  // empty: there is no leader
     Revision epoch;
-    bool partitioned = false;  // the store does not answer us
+    bool partitioned = false;  // this controller can't reach the store
   };
   struct Hooks {
     std::function<Instant()> now;
     std::function<ClusterView()> cluster_view;   // called with the mutex held
-    std::function<void()> on_heartbeat_applied;  // the same
-    std::function<void()> on_no_leader;          // as far as we know
-    // Passes a heartbeat on to another controller.
+    std::function<void()> on_heartbeat_applied;  // called with the mutex held
+    std::function<void()> on_no_leader;          // no leader is known
+    // Relays a heartbeat to another controller.
     std::function<HttpAnswer(const std::string& member, const std::string& body)> relay;
   };
   struct Options {
-    Seconds lease;         // a worker's
+    Seconds lease;         // of a worker
     Seconds leader_lease;  // of the leader's key in the store
-    std::set<std::string> others;
+    std::set<std::string> peers;
   };
 
   // `mutex` guards `scheduler` and `leader_health`; it is not held across I/O.
   HeartbeatHandler(Options options, std::mutex& mutex, Scheduler& scheduler,
                    LeaderHealth& leader_health, CancellationRegistry& cancellations, Hooks hooks);
 
-  // `body` is the heartbeat as the protocol writes it.
+  // `body` is the heartbeat as JSON.
   HttpResponse Handle(const std::string& body, HeartbeatRoute route);
-  // Another controller leads. Called with the mutex held.
+  // Called with the mutex held, after another controller became the leader.
   void OnLeaderChanged();
 
  private:
-  // Where a worker is to send its heartbeats, if not to us.
+  // Where a follower redirects a worker.
   struct Redirection {
-    std::string leader;                 // empty: nobody leads
-    bool leader_unreachable = false;    // from the worker, as far as we can tell
-    std::optional<HttpResponse> reply;  // instead, if its lease was renewed here
+    std::string leader;                   // empty: there is no leader
+    bool leader_unreachable = false;      // the worker probably can't reach the leader
+    std::optional<HttpResponse> renewal;  // sent instead, if this controller renewed the lease
   };
-  // The leader's response; none if we don't lead, or the worker has seen a later leader.
+  // The leader's response. None if this controller does not lead or the worker has the token of a
+  // later leader.
   std::optional<HttpResponse> HandleAsLeader(const Heartbeat& heartbeat, HeartbeatRoute route);
   HttpResponse Redirect(const Heartbeat& heartbeat, const std::string& body);
   Redirection ChooseRedirection(const Heartbeat& heartbeat);
@@ -72,7 +73,7 @@
                      const std::string& leader);
   std::optional<HttpAnswer> TryRelay(const Heartbeat& heartbeat, const std::string& body,
                                      const std::string& leader);
-  // Without an answer of the leader. `mutex_` is held.
+  // Called if the leader did not answer. The caller holds `mutex_`.
   HttpResponse RenewLeaseIfAllowed(const Heartbeat& heartbeat, Instant now);
 
   Options options_;
--- a/src/controller/http_responses.h
+++ b/src/controller/http_responses.h
@@ -1,4 +1,4 @@
-// The responses that the controller's HTTP handlers share.
+// Responses shared by the controller's HTTP handlers.
 #pragma once
 
 #include <string>
@@ -8,21 +8,21 @@
 
 namespace magpie {
 
-// A response without content.
+// A response with an empty JSON object.
 inline HttpResponse EmptyResponse(int status) { return {status, "{}"}; }
 
-// A response that names what is wrong. `message` may quote a request: bytes that are not UTF-8 are
+// A response with an error message. Invalid UTF-8 in `message`, which may quote a request, is
 // replaced.
 inline HttpResponse ErrorResponse(int status, const std::string& message) {
   return {status, protocol::Json{{"error", message}}.dump(
                       -1, ' ', false, protocol::Json::error_handler_t::replace)};
 }
 
-inline HttpResponse UseMethod(const char* method) {
+inline HttpResponse MethodNotAllowedResponse(const char* method) {
   return ErrorResponse(405, std::string("use ") + method);
 }
 
-// 503 with the time after which the user may come back.
+// 503 with the time after which the user may retry.
 inline HttpResponse BusyResponse(const std::string& message, std::uint32_t retry_after_s) {
   HttpResponse response = ErrorResponse(503, message);
   response.retry_after_s = retry_after_s;
--- a/src/controller/job_api.cc
+++ b/src/controller/job_api.cc
@@ -18,23 +18,23 @@
 constexpr std::size_t kMaxFinalRecords = 4096;
 constexpr std::size_t kMaxProgressEntries = 4096;
 constexpr int kMaxCancelTries = 4;
-constexpr Seconds kFirstPause{0.1};
-constexpr Seconds kMaxPause{0.6};
-constexpr Seconds kCancelPatience{3};  // users wait for 5 s
+constexpr Seconds kInitialRetryDelay{0.1};
+constexpr Seconds kMaxRetryDelay{0.6};
+constexpr Seconds kCancelRequestTimeout{3};  // less than the 5 s for which users wait
 constexpr Seconds kRetryAfter{1};
 constexpr char kStoreUnavailable[] = "the state service does not answer";
 constexpr char kNoSuchJob[] = "no such job";
 
-HttpResponse Unavailable(const char* message, Seconds retry_after = kRetryAfter) {
+HttpResponse UnavailableResponse(const char* message, Seconds retry_after = kRetryAfter) {
   return BusyResponse(message, static_cast<std::uint32_t>(std::ceil(retry_after.value)));
 }
 
-// Without the counts of tasks.
-HttpResponse StateOnly(int status, const JobId& id, const char* state) {
+// A job's state without task counts.
+HttpResponse StateOnlyResponse(int status, const JobId& id, const char* state) {
   return {status, protocol::JobStatusReplyToJson({id, state, 0, 0}, false).dump()};
 }
 
-const char* FinalState(const records::FinalRecord& record) {
+const char* FinalStateName(const records::FinalRecord& record) {
   return record.state == JobOutcome::kDone ? protocol::kDone : protocol::kCancelled;
 }
 
@@ -66,26 +66,26 @@
   return {};
 }
 
-// A job's record turns final in one transaction, so a job that is in neither place, looked up in
-// this order, was not accepted before the look-up began.
+// Looks among the live jobs first, then among the final records. One transaction removes the live
+// record and writes the final one, so a job found in neither was not accepted before this call.
 JobApi::Lookup JobApi::FindInStore(const JobId& id) {
-  const bool wrong_order = IsDisabled(SafetyCheck::kLiveBeforeFinal);
-  const GetResult early = wrong_order ? store_.Get(records::FinalKey(id)) : GetResult{};
+  const bool final_first = IsDisabled(SafetyCheck::kLiveBeforeFinal);
+  const GetResult early = final_first ? store_.Get(records::FinalKey(id)) : GetResult{};
   const JobCache::Lookup job = cache_.Find(id);
   if (!job.store_reachable) return {};
   if (job.live) {
     if (job.live->cancelled) return {JobStatus::kCancelled, {}};
     return {job.live->stopping ? JobStatus::kStopping : JobStatus::kLive, {}};
   }
-  const GetResult found = wrong_order ? early : store_.Get(records::FinalKey(id));
+  const GetResult found = final_first ? early : store_.Get(records::FinalKey(id));
   if (found.status != StoreStatus::kOk) return {};
-  if (!found.entry) return {JobStatus::kUnknown, {}};
+  if (!found.entry) return {JobStatus::kNotFound, {}};
   const records::FinalRecord record = records::FinalFromJson(found.entry->value);
   final_records_.Put(id, record);
   return {JobStatus::kFinal, record};
 }
 
-// Only for display: when the leader can't be asked, what it answered last.
+// For display only, so the last known counts are good enough while the leader can't be reached.
 JobProgress JobApi::ProgressOf(const JobId& id) {
   const auto progress = hooks_.progress(id);
   std::scoped_lock lock(progress_mutex_);
@@ -101,12 +101,12 @@
 HttpResponse JobApi::StateResponse(const JobId& id, const Lookup& lookup) {
   protocol::JobStatusReply answer{id, protocol::kQueued, 0, 0};
   switch (lookup.status) {
-    case JobStatus::kUnknown:
+    case JobStatus::kNotFound:
       return ErrorResponse(404, kNoSuchJob);
     case JobStatus::kUnavailable:
-      return Unavailable(kStoreUnavailable);
+      return UnavailableResponse(kStoreUnavailable);
     case JobStatus::kFinal:
-      answer.state = FinalState(lookup.final_record);
+      answer.state = FinalStateName(lookup.final_record);
       if (lookup.final_record.state == JobOutcome::kDone) answer.done = lookup.final_record.tasks;
       break;
     case JobStatus::kCancelled:
@@ -124,9 +124,9 @@
   return {200, protocol::JobStatusReplyToJson(answer, true).dump()};
 }
 
-HttpResponse JobApi::Query(const std::string& text) {
-  if (!IsJobId(text)) return ErrorResponse(404, kNoSuchJob);
-  const JobId id{text};
+HttpResponse JobApi::Query(const std::string& id_text) {
+  if (!IsJobId(id_text)) return ErrorResponse(404, kNoSuchJob);
+  const JobId id{id_text};
   return StateResponse(id, Find(id));
 }
 
@@ -161,50 +161,50 @@
     return ErrorResponse(400, error.what());
   }
   const std::vector<MachineType> types = hooks_.machine_types();
-  if (types.empty()) return Unavailable("the machine types are not known yet");
+  if (types.empty()) return UnavailableResponse("the machine types are not known yet");
   if (const auto reason = RejectionReason(spec, types)) {
-    // A job that was accepted once stays accepted, even if it would not be today.
+    // An accepted job stays accepted, even if a new submission of it would be rejected now.
     const Lookup known = Find(spec.id);
-    if (known.status == JobStatus::kUnknown) return ErrorResponse(422, *reason);
+    if (known.status == JobStatus::kNotFound) return ErrorResponse(422, *reason);
     return StateResponse(spec.id, known);
   }
   spec.submitted = hooks_.wall_now();
   const SubmissionBatcher::Result result = submissions_.Submit(spec);
   switch (result.status) {
     case SubmissionBatcher::Status::kAccepted:
-      return StateOnly(201, spec.id, protocol::kQueued);
+      return StateOnlyResponse(201, spec.id, protocol::kQueued);
     case SubmissionBatcher::Status::kAlreadyExists:
       return StateResponse(spec.id, Find(spec.id));
     case SubmissionBatcher::Status::kMalformed:
-      return Unavailable("the record was refused");
+      return UnavailableResponse("the record was refused");
     case SubmissionBatcher::Status::kUnavailable:
       break;
   }
-  return Unavailable("the state service takes no more now", result.retry_after);
+  return UnavailableResponse("the state service takes no more now", result.retry_after);
 }
 
-HttpResponse JobApi::Cancel(const std::string& text) {
-  if (!IsJobId(text)) return ErrorResponse(404, kNoSuchJob);
-  const JobId id{text};
-  Backoff backoff(kFirstPause, kMaxPause);
-  const Instant until = hooks_.now() + kCancelPatience;
-  for (int i = 0; i < kMaxCancelTries && hooks_.now() < until; ++i)
-    if (auto response = TryCancel(id, until, backoff)) return *response;
-  return Unavailable(kStoreUnavailable);
+HttpResponse JobApi::Cancel(const std::string& id_text) {
+  if (!IsJobId(id_text)) return ErrorResponse(404, kNoSuchJob);
+  const JobId id{id_text};
+  Backoff backoff(kInitialRetryDelay, kMaxRetryDelay);
+  const Instant deadline = hooks_.now() + kCancelRequestTimeout;
+  for (int i = 0; i < kMaxCancelTries && hooks_.now() < deadline; ++i)
+    if (auto response = TryCancel(id, deadline, backoff)) return *response;
+  return UnavailableResponse(kStoreUnavailable);
 }
 
-std::optional<HttpResponse> JobApi::TryCancel(const JobId& id, Instant until, Backoff& backoff) {
+std::optional<HttpResponse> JobApi::TryCancel(const JobId& id, Instant deadline, Backoff& backoff) {
   const Lookup lookup = Find(id);
   switch (lookup.status) {
     case JobStatus::kUnavailable:
       SleepBeforeRetry(backoff);
       return std::nullopt;
-    case JobStatus::kUnknown:
+    case JobStatus::kNotFound:
       return ErrorResponse(404, kNoSuchJob);
     case JobStatus::kFinal:
-      return StateOnly(200, id, FinalState(lookup.final_record));
+      return StateOnlyResponse(200, id, FinalStateName(lookup.final_record));
     case JobStatus::kCancelled:
-      return StateOnly(200, id, protocol::kCancelled);
+      return StateOnlyResponse(200, id, protocol::kCancelled);
     case JobStatus::kLive:
     case JobStatus::kStopping:
       break;
@@ -216,27 +216,29 @@
   }
   const bool final_meanwhile = !found.entry || !found.entry->value.is_object();
   if (final_meanwhile) return std::nullopt;
-  return CancelLive(id, std::move(*found.entry), until, backoff);
+  return CancelLive(id, std::move(*found.entry), deadline, backoff);
 }
 
-std::optional<HttpResponse> JobApi::CancelLive(const JobId& id, StoreEntry entry, Instant until,
+std::optional<HttpResponse> JobApi::CancelLive(const JobId& id, StoreEntry entry, Instant deadline,
                                                Backoff& backoff) {
   const bool stopping = entry.value.value(records::kStoppingField, false) ||
                         IsDisabled(SafetyCheck::kStoppingBeforeAcknowledged);
-  if (!stopping && !MarkRecord(id, entry, records::kStoppingField, backoff)) return std::nullopt;
-  // The user waits no longer and repeats the request, which then has less to do.
-  if (hooks_.now() >= until) return Unavailable(kStoreUnavailable);
-  // The cancellation is durable before it is announced: a controller that ends after it has
-  // acknowledged it, and is restarted, then finds it when it loads the jobs.
+  if (!stopping && !SetRecordFlag(id, entry, records::kStoppingField, backoff)) return std::nullopt;
+  // The user's request is about to time out. Its retry finds the first step done.
+  if (hooks_.now() >= deadline) return UnavailableResponse(kStoreUnavailable);
+  // The cancellation is durable before it is announced, so that a controller that restarts after
+  // acknowledging it finds it when loading the jobs.
   if (!hooks_.broadcast_cancellation(id, entry.revision))
-    return Unavailable("not every controller knows of it yet: its tasks are being stopped");
-  if (!MarkRecord(id, entry, records::kCancelledField, backoff)) return std::nullopt;
+    return UnavailableResponse("not every controller knows of it yet: its tasks are being stopped");
+  if (!SetRecordFlag(id, entry, records::kCancelledField, backoff)) return std::nullopt;
   spdlog::debug("cancellation acknowledged job={}", id.value);
-  return StateOnly(200, id, protocol::kCancelled);
+  return StateOnlyResponse(200, id, protocol::kCancelled);
 }
 
-// Conditional on the record's revision, so that a cancellation can't pass the end of its job.
-bool JobApi::MarkRecord(const JobId& id, StoreEntry& entry, const char* field, Backoff& backoff) {
+// Conditional on the record's revision: without the condition, a job that became final in the
+// meantime would be written as a live job again.
+bool JobApi::SetRecordFlag(const JobId& id, StoreEntry& entry, const char* field,
+                           Backoff& backoff) {
   const std::string key = records::JobKey(id);
   entry.value[field] = true;
   submissions_.Charge();
@@ -245,7 +247,7 @@
     transaction.conditions.push_back({key, entry.revision});
   const TransactionResult result = store_.Commit(transaction);
   if (result.status == StoreStatus::kOk) entry.revision = result.revision;
-  // Without an answer the job is read again at once, which shows what became of it.
+  // Without an answer the outcome is unknown; the caller reads the job again at once to find out.
   if (result.status == StoreStatus::kRefused || result.status == StoreStatus::kInvalid)
     SleepBeforeRetry(backoff);
   return result.status == StoreStatus::kOk;
--- a/src/controller/job_api.h
+++ b/src/controller/job_api.h
@@ -1,4 +1,4 @@
-// What users ask about jobs: submit, query, cancel.
+// The users' requests about jobs: submission, query and cancellation.
 #pragma once
 
 #include <cstdint>
@@ -20,44 +20,46 @@
 
 namespace magpie {
 
-// Any controller answers, from the durable records, so that none gives an answer older than
-// another's. Thread safe; blocks on calls to the key-value store.
+// Runs on every controller and answers from the durable records, so that no controller returns an
+// older state than another one has. Thread safe; blocks on calls to the key-value store.
 class JobApi {
  public:
   struct Hooks {
-    std::function<std::vector<MachineType>()> machine_types;  // empty: not known yet
-    // The leader's counts, or none when they can't be had.
+    std::function<std::vector<MachineType>()> machine_types;  // empty: not fetched yet
+    // The leader's task counts; none if they are not available.
     std::function<std::optional<JobProgress>(const JobId&)> progress;
     std::function<WallTime()> wall_now;
     std::function<void(Seconds)> sleep;
     std::function<Instant()> now;
-    // Whether every controller knows of this cancellation now, which is durable at the revision.
+    // Announces a cancellation that is durable at the revision. True if every controller has
+    // acknowledged it.
     std::function<bool(const JobId&, Revision)> broadcast_cancellation;
   };
 
-  // `min_read_interval` lies at least between two reads for polls.
+  // `min_read_interval`: the minimum time between two reads of the store for polls.
   JobApi(KeyValueStore& store, std::vector<Team> teams, std::vector<std::string> zones,
          Seconds min_read_interval, SubmissionBatcher::Options submissions, Hooks hooks);
 
-  // `body` is the job as the protocol writes it, `text` the job's id as it stands in the path.
+  // `body` is the job as JSON, `id_text` the job's id from the path.
   HttpResponse Submit(const std::string& body);
-  HttpResponse Query(const std::string& text);
-  // In two durable steps (CancellationBroadcaster): first the job's tasks stop, then, once every
-  // controller knows of it, users are told. If not every controller can be reached, they are told
-  // when the job is final, which takes no longer than its tasks do to stop.
-  HttpResponse Cancel(const std::string& text);
+  HttpResponse Query(const std::string& id_text);
+  // Cancels a job in two durable steps (see CancellationBroadcaster). The first marks the job as
+  // stopping, which stops its tasks. The second marks it as cancelled for users, after every
+  // controller has acknowledged the cancellation. If a controller can't be reached, users see the
+  // cancellation when the job is final, which is as soon as its tasks have stopped.
+  HttpResponse Cancel(const std::string& id_text);
 
-  // The copy of the live jobs that polls are answered from.
+  // The cache of live jobs that polls are answered from.
   JobCache& cache() { return cache_; }
 
  private:
   enum class JobStatus : std::uint8_t {
-    kUnknown,  // there is no such job
+    kNotFound,
     kLive,
-    kStopping,  // by a cancellation that nobody is told of yet
+    kStopping,  // by a cancellation that users can't see yet
     kCancelled,
     kFinal,
-    kUnavailable,  // the store does not answer
+    kUnavailable,  // the store can't be reached, or the record can't be decoded
   };
   struct Lookup {
     JobStatus status = JobStatus::kUnavailable;
@@ -67,16 +69,16 @@
   Lookup FindInStore(const JobId& id);
   HttpResponse StateResponse(const JobId& id, const Lookup& lookup);
   JobProgress ProgressOf(const JobId& id);
-  // Why the job can never run here; none if it can.
+  // Why the job can never run on this cluster; none if it can.
   std::optional<std::string> RejectionReason(const JobSpec& spec,
                                              const std::vector<MachineType>& types) const;
-  // The response of one try to cancel; none: to be tried again.
-  std::optional<HttpResponse> TryCancel(const JobId& id, Instant until, Backoff& backoff);
-  std::optional<HttpResponse> CancelLive(const JobId& id, StoreEntry entry, Instant until,
+  // Tries once to cancel the job. None: the caller retries.
+  std::optional<HttpResponse> TryCancel(const JobId& id, Instant deadline, Backoff& backoff);
+  std::optional<HttpResponse> CancelLive(const JobId& id, StoreEntry entry, Instant deadline,
                                          Backoff& backoff);
-  // Sets `field` in the record, if the record is still as in `entry`. False if that is not known
-  // to be done.
-  bool MarkRecord(const JobId& id, StoreEntry& entry, const char* field, Backoff& backoff);
+  // Sets the flag `field` in the job's record, provided that the record is still at the revision of
+  // `entry`. False unless the store has confirmed the write.
+  bool SetRecordFlag(const JobId& id, StoreEntry& entry, const char* field, Backoff& backoff);
   void SleepBeforeRetry(Backoff& backoff) const;
 
   KeyValueStore& store_;
--- a/src/controller/job_router.cc
+++ b/src/controller/job_router.cc
@@ -14,13 +14,15 @@
   const bool get = request.method == "GET";
   const bool post = request.method == "POST";
   const std::string jobs_path = protocol::kJobsPath;
-  if (path == jobs_path) return post ? jobs_.Submit(request.body) : UseMethod("POST");
+  if (path == jobs_path)
+    return post ? jobs_.Submit(request.body) : MethodNotAllowedResponse("POST");
   if (path.starts_with(jobs_path + "/")) {
     const std::string rest = path.substr(jobs_path.size() + 1);
     const auto slash = rest.find('/');
-    if (slash == std::string::npos) return get ? jobs_.Query(rest) : UseMethod("GET");
+    if (slash == std::string::npos)
+      return get ? jobs_.Query(rest) : MethodNotAllowedResponse("GET");
     if (rest.substr(slash + 1) == protocol::kCancelSuffix)
-      return post ? jobs_.Cancel(rest.substr(0, slash)) : UseMethod("POST");
+      return post ? jobs_.Cancel(rest.substr(0, slash)) : MethodNotAllowedResponse("POST");
   }
   return ErrorResponse(404, "no such path");
 }
--- a/src/controller/job_router.h
+++ b/src/controller/job_router.h
@@ -1,4 +1,4 @@
-// Routes users' requests about jobs by their paths.
+// Routes the users' requests about jobs by path.
 #pragma once
 
 #include "controller/job_api.h"
@@ -6,7 +6,7 @@
 
 namespace magpie {
 
-// The path without the query that may follow it.
+// The path without the query string.
 std::string PathOf(const HttpRequest& request);
 
 // Thread safe.
@@ -14,7 +14,7 @@
  public:
   explicit JobRouter(JobApi& jobs) : jobs_(jobs) {}
 
-  // Submission, query or cancellation; blocks on calls to the key-value store.
+  // Handles a submission, query or cancellation. Blocks on calls to the key-value store.
   HttpResponse Handle(const HttpRequest& request);
 
  private:
--- a/src/controller/leader_state.cc
+++ b/src/controller/leader_state.cc
@@ -15,7 +15,7 @@
 
 LeaderState::LeaderState(Options options)
     : label_(std::move(options.label)),
-      on_other_leader_(std::move(options.on_other_leader)),
+      on_leader_changed_(std::move(options.on_leader_changed)),
       scheduler_(std::move(options.scheduler), options.autoscaler),
       health_(options.heartbeat_interval),
       timeline_(SteadyNow()) {}
@@ -28,11 +28,11 @@
   }
   store_reached_at_ = SteadyNow();
   timeline_.Record(FailoverTimeline::Step::kStoreReached, store_reached_at_);
-  if (leader_label_ != view.leader) on_other_leader_();
+  if (leader_label_ != view.leader) on_leader_changed_();
   leader_label_ = view.leader;
   epoch_ = view.epoch;
-  // A view from before the leadership was relinquished. Begun once more with the same epoch, the
-  // scheduler would lack the tokens that it had raised after commands without an answer.
+  // This view predates the relinquishment. If the scheduler restarted with the same epoch, it would
+  // have lost the tokens that it raised after unanswered commands.
   if (view.leadership && view.leadership == relinquished_) return;
   if (view.leadership == leadership_) return;
   scheduler_.Stop();
@@ -63,7 +63,7 @@
   return view.leadership && view.leadership == relinquished_;
 }
 
-bool LeaderState::Holds(const Leadership& leadership) {
+bool LeaderState::HoldsLeadership(const Leadership& leadership) {
   std::scoped_lock lock(mutex_);
   return leadership_ == leadership;
 }
@@ -95,7 +95,7 @@
                                   const std::stop_token& stop) {
   condition(WorkSignal::kPlanning)
       .wait_for(lock, std::chrono::duration<double>(max_wait.value),
-                [&] { return planning_due_ || stop.stop_requested(); });
+                [&] { return planning_requested_ || stop.stop_requested(); });
 }
 
 HeartbeatHandler::ClusterView LeaderState::ClusterView() const {
@@ -108,7 +108,7 @@
 }
 
 void LeaderState::RequestPlanning() {
-  if (!std::exchange(planning_due_, true)) NotifyOne(WorkSignal::kPlanning);
+  if (!std::exchange(planning_requested_, true)) NotifyOne(WorkSignal::kPlanning);
 }
 
 void LeaderState::RequestPlanningIfWanted() {
--- a/src/controller/leader_state.h
+++ b/src/controller/leader_state.h
@@ -1,4 +1,4 @@
-// What the threads of one controller share about the leader's work.
+// The state that the threads of one controller share for the leader's work.
 #pragma once
 
 #include <array>
@@ -20,7 +20,7 @@
 
 namespace magpie {
 
-// What a thread of the leader waits for.
+// The events that the threads of the leader wait for.
 enum class WorkSignal : std::uint8_t {
   kLeadershipAcquired,
   kPlanning,
@@ -30,13 +30,12 @@
   kCloudCall,
 };
 
-// The scheduler of this controller, whether it leads, and the wake-ups of the threads that carry
-// out what the scheduler decides.
+// Holds the scheduler, whether this controller leads, and the condition variables of the threads
+// that carry out the scheduler's decisions.
 //
-// Thread safety: one mutex guards all members. Any thread may hold it, for computations only:
-// never across a call to another process or a sleep. Functions either lock it themselves, or say
-// that the caller holds it; those are called between `std::unique_lock lock(state.mutex())` and
-// its end.
+// Thread safety: one mutex guards all members. Any thread may hold it for computations, but never
+// during I/O or a sleep. The functions of the first group below lock the mutex; the caller of the
+// others holds it with `std::unique_lock lock(state.mutex())`.
 class LeaderState {
  public:
   struct Options {
@@ -44,93 +43,94 @@
     Scheduler::Options scheduler;
     Autoscaler::Options autoscaler;
     Seconds heartbeat_interval;
-    // Another controller leads now. Called with the mutex held.
-    std::function<void()> on_other_leader;
+    // Called with the mutex held, after another controller became the leader.
+    std::function<void()> on_leader_changed;
   };
 
   explicit LeaderState(Options options);
   LeaderState(const LeaderState&) = delete;
   LeaderState& operator=(const LeaderState&) = delete;
 
-  // --- Functions that lock the mutex.
+  // --- Functions that lock the mutex
 
-  // Takes over what the election has found: begins or ends a leadership of ours.
+  // Applies the result of an election step; starts or ends the leadership of this controller.
   void OnElectionView(const LeaderElection::View& view);
-  // Ends the leadership for good, if it is still ours: the records say that it is lost, or what
-  // the scheduler knows is wrong. It is not resumed even if the key-value store still names us.
+  // Ends the leadership permanently if this controller still holds it. Called if the records show
+  // that it is lost, or if the scheduler's state differs from the records. It is not resumed even
+  // if the key-value store still names this controller as the leader.
   void Relinquish(const records::Leadership& leadership);
-  // Whether the key-value store still names us by a leadership that was relinquished.
+  // Whether the leadership in the key-value store is the one that this controller relinquished.
   bool IsRelinquished(const LeaderElection::View& view);
-  bool Holds(const records::Leadership& leadership);
-  // Whether the key-value store answered the latest call of the election.
+  bool HoldsLeadership(const records::Leadership& leadership);
+  // Whether the key-value store answered the latest election step.
   bool StoreReachable();
   bool MayCampaign(Instant no_leader_since);
-  // Whether another controller should lead in our stead; if so, it counts as our resignation.
+  // Whether this controller should resign. If so, the resignation is recorded in health().
   bool ResignIfUnhealthy();
-  // The label of the leader as far as we know; empty: nobody.
+  // The label of the last known leader; empty: there is none.
   std::string leader_label();
 
-  // Wakes all that wait for `signal`, who then look whether they shall stop.
+  // Wakes all threads that wait for `signal`, so that they check for a stop request.
   void WakeAll(WorkSignal signal);
-  // Blocks until `next_work` returns a value and returns that; none when `stop` is requested.
-  // `next_work` is called with the mutex held, at once and after each `signal`.
+  // Blocks until `next_work` returns a value and returns it; none if `stop` is requested. Calls
+  // `next_work` with the mutex held, at once and after each `signal`.
   template <typename NextWork>
   std::invoke_result_t<NextWork> WaitForWork(const std::stop_token& stop, WorkSignal signal,
                                              NextWork next_work);
-  // Blocks until planning is due, or for `max_wait`. `lock` holds the mutex.
+  // Blocks until planning is requested, at most for `max_wait`. `lock` holds the mutex.
   void WaitForPlanning(std::unique_lock<std::mutex>& lock, Seconds max_wait,
                        const std::stop_token& stop);
 
-  // --- Functions whose caller holds the mutex.
+  // --- Functions that require the caller to hold the mutex
 
   std::mutex& mutex() { return mutex_; }
   Scheduler& scheduler() { return scheduler_; }
   LeaderHealth& health() { return health_; }
   FailoverTimeline& timeline() { return timeline_; }
   const std::optional<records::Leadership>& leadership() const { return leadership_; }
-  // The latest epoch that is known, of whichever leader.
+  // The latest known epoch, of this or another leader.
   Revision epoch() const { return leadership_ ? leadership_->epoch : epoch_; }
   HeartbeatHandler::ClusterView ClusterView() const;
   Instant store_reached_at() const { return store_reached_at_; }
   void OnStoreReached(Instant now) { store_reached_at_ = now; }
-  // Begins the scheduler with nothing that it knew, for the present leadership.
+  // Restarts the scheduler with empty state for the current leadership.
   void RestartScheduler();
 
-  // Planning is due now, or only if the scheduler asks for it.
   void RequestPlanning();
+  // Requests planning if the scheduler has reason to plan.
   void RequestPlanningIfWanted();
-  void OnPlanningBegun() { planning_due_ = false; }
-  // Wakes as many command threads as there are machines with commands.
+  void OnPlanningStarted() { planning_requested_ = false; }
+  // Wakes one direct-command thread for each machine with pending commands.
   void NotifyCommandThreads();
   void NotifyOne(WorkSignal signal) { condition(signal).notify_one(); }
 
  private:
-  static constexpr std::size_t kSignals = 6;
+  static constexpr std::size_t kSignalCount = 6;
   std::condition_variable& condition(WorkSignal signal) {
     return conditions_[static_cast<std::size_t>(signal)];
   }
 
   const std::string label_;
-  const std::function<void()> on_other_leader_;
+  const std::function<void()> on_leader_changed_;
 
-  std::mutex mutex_;  // guards all below
-  std::array<std::condition_variable, kSignals> conditions_;
+  std::mutex mutex_;  // guards the members below
+  std::array<std::condition_variable, kSignalCount> conditions_;
   Scheduler scheduler_;
   LeaderHealth health_;
   std::optional<records::Leadership> leadership_;
-  std::optional<records::Leadership> relinquished_;  // the latest
+  std::optional<records::Leadership> relinquished_;  // the last one
   std::string leader_label_;
   Revision epoch_;
   Instant store_reached_at_;  // when the key-value store last answered
-  Instant store_failed_at_;   // when it last did not
-  bool planning_due_ = false;
+  Instant store_failed_at_;   // when a call to it last failed
+  bool planning_requested_ = false;
   FailoverTimeline timeline_;
 };
 
 template <typename NextWork>
 std::invoke_result_t<NextWork> LeaderState::WaitForWork(const std::stop_token& stop,
                                                         WorkSignal signal, NextWork next_work) {
-  // Its callback locks the mutex, so it is registered before the mutex is taken.
+  // The callback locks the mutex, so it must be registered before the mutex is locked.
   const std::stop_callback wake_on_stop(stop, [this, signal] { WakeAll(signal); });
   std::unique_lock lock(mutex_);
   while (!stop.stop_requested()) {
--- a/src/controller/machine_type_cache.cc
+++ b/src/controller/machine_type_cache.cc
@@ -5,8 +5,8 @@
 namespace magpie {
 namespace {
 constexpr Seconds kRefreshInterval{60};
-constexpr Seconds kFirstPause{0.5};  // after a failed call
-constexpr Seconds kMaxPause{5};
+constexpr Seconds kInitialRetryDelay{0.5};
+constexpr Seconds kMaxRetryDelay{5};
 }  // namespace
 
 MachineTypeCache::MachineTypeCache(LeaderState& state, CloudClient& cloud)
@@ -14,7 +14,7 @@
 
 void MachineTypeCache::Start() {
   thread_ = std::jthread([this](const std::stop_token& stop) {
-    RepeatUntilStopped(stop, {kFirstPause, kMaxPause}, [&] { return Refresh(stop); });
+    RepeatUntilStopped(stop, {kInitialRetryDelay, kMaxRetryDelay}, [&] { return Refresh(stop); });
   });
 }
 
@@ -34,7 +34,7 @@
     std::scoped_lock lock(state_.mutex());
     state_.scheduler().SetTypes(std::move(*types));
   }
-  SleepAbout(kRefreshInterval, stop);
+  SleepWithJitter(kRefreshInterval, stop);
   return StepResult::kSucceeded;
 }
 
--- a/src/controller/machine_type_cache.h
+++ b/src/controller/machine_type_cache.h
@@ -1,4 +1,4 @@
-// The machine types that the cloud offers.
+// A cache of the machine types that the cloud offers.
 #pragma once
 
 #include <mutex>
@@ -13,15 +13,15 @@
 
 namespace magpie {
 
-// Asks the cloud for its machine types once a minute, for the scheduler and for the check of
+// Fetches the machine types from the cloud once a minute, for the scheduler and for checking
 // submissions. Thread safe.
 class MachineTypeCache {
  public:
   MachineTypeCache(LeaderState& state, CloudClient& cloud);
 
-  // Begins the thread. It ends with this object, once the present call has ended.
+  // Starts the thread. The destructor stops it and waits for the current call.
   void Start();
-  // As the cloud told them last; empty: not yet.
+  // The machine types of the latest fetch; empty before the first one.
   std::vector<MachineType> types() const;
 
  private:
@@ -31,7 +31,7 @@
   CloudClient& cloud_;
   mutable std::mutex mutex_;  // guards types_
   std::vector<MachineType> types_;
-  std::jthread thread_;  // last: ends before what it uses
+  std::jthread thread_;  // declared last: joined before the other members are destroyed
 };
 
 }  // namespace magpie
--- a/src/controller/main.cc
+++ b/src/controller/main.cc
@@ -14,16 +14,16 @@
 
 namespace {
 
-constexpr std::size_t kStack = 192 * 1024;
-constexpr int kArenas = 2;
+constexpr std::size_t kThreadStackBytes = 192 * 1024;
+constexpr int kMaxMallocArenas = 2;
 
-bool SetUpLog() {
+bool ConfigureLogging() {
   spdlog::set_default_logger(spdlog::stderr_logger_mt("magpieswitch"));
   spdlog::set_pattern("%l %v");
   const char* level = std::getenv("LOG_LEVEL");
   const std::string name = level == nullptr ? "info" : level;
   if (name != "error" && name != "info" && name != "debug") {
-    std::cerr << "LOG_LEVEL: must be error, info or debug\n";
+    std::cerr << "LOG_LEVEL must be error, info or debug\n";
     return false;
   }
   spdlog::set_level(spdlog::level::from_str(name));
@@ -36,10 +36,10 @@
   CLI::App app{"magpieswitch, a cluster scheduler"};
   std::string config;
   std::string properties;
-  bool check = false;
-  app.add_option("--config", config, "the platform's settings (TOML)")->required();
-  app.add_option("--properties", properties, "operators' settings (Java-style properties)");
-  app.add_flag("--check-config", check, "check the settings and exit");
+  bool check_only = false;
+  app.add_option("--config", config, "the platform's settings file (TOML)")->required();
+  app.add_option("--properties", properties, "the operators' properties file (Java-style)");
+  app.add_flag("--check-config", check_only, "check the settings files and exit");
   app.set_version_flag("--version", "magpieswitch " MAGPIE_VERSION);
   CLI11_PARSE(app, argc, argv);
 
@@ -47,21 +47,21 @@
   try {
     settings = magpie::LoadSettings(config);
     if (!properties.empty()) magpie::LoadProperties(properties, settings);
-  } catch (const magpie::InvalidSettings& e) {
-    std::cerr << e.what() << "\n";
+  } catch (const magpie::InvalidSettings& error) {
+    std::cerr << error.what() << "\n";
     return 2;
   }
-  if (check) {
+  if (check_only) {
     std::cout << "the settings are good\n";
     return 0;
   }
-  if (!SetUpLog()) return 2;
+  if (!ConfigureLogging()) return 2;
 
-  // The machines are small: few heaps, small stacks.
-  mallopt(M_ARENA_MAX, kArenas);
+  // Controllers run with little memory, so the number of heaps and the stack size are limited.
+  mallopt(M_ARENA_MAX, kMaxMallocArenas);
   pthread_attr_t attributes;
   pthread_attr_init(&attributes);
-  pthread_attr_setstacksize(&attributes, kStack);
+  pthread_attr_setstacksize(&attributes, kThreadStackBytes);
   pthread_setattr_default_np(&attributes);
   pthread_attr_destroy(&attributes);
   std::signal(SIGPIPE, SIG_IGN);
--- a/src/controller/peer_api.cc
+++ b/src/controller/peer_api.cc
@@ -54,7 +54,7 @@
     if (!state_.scheduler().loaded()) return EmptyResponse(503);
     progress = state_.scheduler().GetAllJobProgress();
   }
-  return {200, ProgressCache::ToText(progress)};
+  return {200, ProgressCache::ToJsonText(progress)};
 }
 
 HttpResponse PeerApi::HandleCancellation(const HttpRequest& request) {
@@ -65,7 +65,7 @@
   }
 }
 
-// It is never forwarded once more.
+// Handles the request on this controller; it is never forwarded again.
 HttpResponse PeerApi::HandleForwardedJobRequest(const HttpRequest& request) {
   if (!state_.StoreReachable()) return EmptyResponse(503);
   try {
--- a/src/controller/peer_api.h
+++ b/src/controller/peer_api.h
@@ -1,4 +1,4 @@
-// What other controllers ask of this one.
+// The HTTP API for other controllers.
 #pragma once
 
 #include "cancellation/cancellation_registry.h"
@@ -9,7 +9,7 @@
 
 namespace magpie {
 
-// Answers the calls that PeerClients makes. Thread safe; blocks on I/O.
+// Handles the calls that PeerClients makes. Thread safe; blocks on I/O.
 class PeerApi {
  public:
   PeerApi(LeaderState& state, HeartbeatHandler& heartbeats, JobRouter& jobs,
--- a/src/controller/peer_clients.cc
+++ b/src/controller/peer_clients.cc
@@ -11,10 +11,10 @@
 constexpr std::size_t kIdleConnections = 2;
 }  // namespace
 
-PeerClients::PeerClients(const std::vector<Member>& members) {
-  for (const Member& member : members)
-    clients_[member.label] = std::make_unique<HttpClient>(member.peer_address, kConnectTimeout,
-                                                          kAnswerTimeout, kIdleConnections);
+PeerClients::PeerClients(const std::vector<PeerSettings>& peers) {
+  for (const PeerSettings& peer : peers)
+    clients_[peer.label] = std::make_unique<HttpClient>(peer.peer_address, kConnectTimeout,
+                                                        kAnswerTimeout, kIdleConnections);
 }
 
 std::vector<std::string> PeerClients::labels() const {
@@ -23,14 +23,14 @@
   return labels;
 }
 
-HttpAnswer PeerClients::RelayHeartbeat(const std::string& member, const std::string& body) {
-  return clients_.at(member)->Post(kPeerHeartbeatPath, body);
+HttpAnswer PeerClients::RelayHeartbeat(const std::string& peer, const std::string& body) {
+  return clients_.at(peer)->Post(kPeerHeartbeatPath, body);
 }
 
-bool PeerClients::AnnounceCancellation(const std::string& member,
+bool PeerClients::AnnounceCancellation(const std::string& peer,
                                        const JobCache::Cancellation& cancellation) {
-  const HttpAnswer answer = clients_.at(member)->Post(
-      kPeerCancelledPath, CancellationRegistry::Announcement(cancellation));
+  const HttpAnswer answer =
+      clients_.at(peer)->Post(kPeerCancelledPath, CancellationRegistry::Announcement(cancellation));
   return answer.answered && answer.status == 200;
 }
 
--- a/src/controller/peer_clients.h
+++ b/src/controller/peer_clients.h
@@ -1,4 +1,4 @@
-// Calls to the other controllers.
+// The HTTP calls to other controllers.
 #pragma once
 
 #include <map>
@@ -14,31 +14,32 @@
 
 namespace magpie {
 
-// The paths by which controllers call one another (PeerApi answers them).
+// The paths of calls between controllers, served by PeerApi.
 inline constexpr char kPeerHeartbeatPath[] = "/mesh/report";
 inline constexpr char kPeerJobsPath[] = "/mesh/jobs";
 inline constexpr char kPeerProgressPath[] = "/mesh/counts";
 inline constexpr char kPeerPingPath[] = "/mesh/ping";
 inline constexpr char kPeerCancelledPath[] = "/mesh/cancelled";
 
-// Thread safe. Each function blocks on I/O, for the timeout of a call to each controller asked.
+// Thread safe. Each function blocks on I/O, at most for the call timeout times the number of peers
+// called.
 class PeerClients {
  public:
-  explicit PeerClients(const std::vector<Member>& members);
+  explicit PeerClients(const std::vector<PeerSettings>& peers);
 
   bool empty() const { return clients_.empty(); }
   std::vector<std::string> labels() const;
 
-  // Passes a worker's heartbeat on to `member`, which is one of labels().
-  HttpAnswer RelayHeartbeat(const std::string& member, const std::string& body);
-  // Whether `member` says that it knows of the cancellation now.
-  bool AnnounceCancellation(const std::string& member, const JobCache::Cancellation& cancellation);
-  // A user's request about jobs, carried out by a controller that reaches the key-value store;
-  // none if there is no such controller, or the request is about something else.
+  // Relays a worker's heartbeat to `peer`, which must be one of labels().
+  HttpAnswer RelayHeartbeat(const std::string& peer, const std::string& body);
+  // Whether `peer`, one of labels(), acknowledged the cancellation.
+  bool AnnounceCancellation(const std::string& peer, const JobCache::Cancellation& cancellation);
+  // Forwards a user's request about jobs to a peer that can reach the key-value store, and returns
+  // the response. None if there is no such peer or the request is not about jobs.
   std::optional<HttpResponse> ForwardJobRequest(const HttpRequest& request);
-  // The body of the leader's progress counts; none if it isn't a peer or doesn't know them.
+  // The leader's task counts as JSON. None if `leader` is not a peer or has not loaded the records.
   std::optional<std::string> FetchProgress(const std::string& leader);
-  // Whether some other controller answers.
+  // Whether any peer answers.
   bool AnyReachable();
 
  private:
--- a/src/controller/planning_loop.cc
+++ b/src/controller/planning_loop.cc
@@ -14,13 +14,14 @@
 namespace {
 
 constexpr Seconds kMaxRoundInterval{0.25};
-constexpr Seconds kIdleInterval{2};     // while there is nothing to plan
-constexpr double kMaxTimeShare = 0.25;  // that planning may take
+constexpr Seconds kIdleInterval{2};  // while the records are not loaded
+constexpr double kMaxPlanningTimeShare = 0.25;
 constexpr Seconds kMinPause{0.05};
 constexpr Seconds kMetricsInterval{30};
 
-Seconds PauseAfter(Seconds round) {
-  return std::max(kMinPause, ((1 - kMaxTimeShare) / kMaxTimeShare) * round);
+Seconds PauseAfterRound(Seconds round_duration) {
+  return std::max(kMinPause,
+                  ((1 - kMaxPlanningTimeShare) / kMaxPlanningTimeShare) * round_duration);
 }
 
 }  // namespace
@@ -38,13 +39,13 @@
   while (!stop.stop_requested()) {
     const Seconds max_wait = state_.scheduler().loaded() ? kMaxRoundInterval : kIdleInterval;
     state_.WaitForPlanning(lock, max_wait, stop);
-    const Seconds early = next_round_ - SteadyNow();
-    if (early.value > 0) {
+    const Seconds remaining_pause = next_round_ - SteadyNow();
+    if (remaining_pause.value > 0) {
       lock.unlock();
-      SleepFor(early, stop);
+      SleepFor(remaining_pause, stop);
       lock.lock();
     }
-    state_.OnPlanningBegun();
+    state_.OnPlanningStarted();
     if (!state_.scheduler().loaded()) continue;
     const RoundLog log = PlanRound();
     if (!log.decisions.empty() || log.metrics || log.failover_line) {
@@ -52,7 +53,7 @@
       Log(log);
       lock.lock();
     }
-    NotifyWorkers();
+    NotifyThreads();
   }
 }
 
@@ -61,7 +62,7 @@
   const Instant begin = SteadyNow();
   scheduler.Tick(begin, WallNow());
   const Instant end = SteadyNow();
-  next_round_ = end + PauseAfter(end - begin);
+  next_round_ = end + PauseAfterRound(end - begin);
   RoundLog log{scheduler.TakeDecisions(), FailoverLineIfSettled(end), std::nullopt};
   if (begin >= next_metrics_) {
     next_metrics_ = begin + kMetricsInterval;
@@ -83,7 +84,7 @@
   return FailoverLine(options_.label, state_.epoch(), reconciliation, timeline);
 }
 
-void PlanningLoop::NotifyWorkers() {
+void PlanningLoop::NotifyThreads() {
   state_.NotifyOne(WorkSignal::kWriteBatch);
   state_.NotifyCommandThreads();
   const std::size_t probes =
--- a/src/controller/planning_loop.h
+++ b/src/controller/planning_loop.h
@@ -1,4 +1,4 @@
-// The thread that has the scheduler plan.
+// The thread that runs planning rounds.
 #pragma once
 
 #include <functional>
@@ -13,25 +13,26 @@
 
 namespace magpie {
 
-// Runs a planning round (Scheduler::Tick) at once when something happened, but within a bounded
-// share of the time: the longer a round takes, the longer the pause after it. Wakes the threads
-// that carry out what was decided, and logs the decisions and the leader's metrics.
+// Runs a planning round (Scheduler::Tick) soon after each request for one. The pause after a round
+// is proportional to its duration, which bounds the share of time spent on planning. After a round
+// it wakes the threads that carry out the decisions, and logs the decisions and the leader's
+// metrics.
 class PlanningLoop {
  public:
   struct Options {
     std::string label;              // of this controller, for the log
-    std::size_t probe_threads = 1;  // of which as many are woken as there are probes
-    // Whether the cancellations are loaded, for the log.
+    std::size_t probe_threads = 1;  // in ProbeLoop
+    // Whether the cancellation registry is loaded, for the log.
     std::function<bool()> cancellations_loaded;
   };
 
   PlanningLoop(LeaderState& state, Options options);
 
-  // Begins the thread; it ends with this object.
+  // Starts the thread. The destructor stops it.
   void Start();
 
  private:
-  // What a round leaves to be logged.
+  // The log output of one round, written after the mutex is released.
   struct RoundLog {
     std::vector<std::string> decisions;
     std::optional<std::string> failover_line;
@@ -39,19 +40,19 @@
   };
 
   void Run(const std::stop_token& stop);
-  // One round and what it has to log; the caller holds the mutex.
+  // Runs one round. The caller holds the mutex.
   RoundLog PlanRound();
-  // Once a leadership, when the takeover is complete.
+  // Returns the line once per leadership, when the takeover is complete.
   std::optional<std::string> FailoverLineIfSettled(Instant now);
-  void NotifyWorkers();
+  void NotifyThreads();
   void Log(const RoundLog& log) const;
 
   LeaderState& state_;
   Options options_;
-  // Used by the thread alone.
-  Instant next_round_;  // not before
+  // Used only by the thread.
+  Instant next_round_;  // earliest start of the next round
   Instant next_metrics_;
-  std::jthread thread_;  // last: ends before what it uses
+  std::jthread thread_;  // declared last: joined before the other members are destroyed
 };
 
 }  // namespace magpie
--- a/src/controller/probe_loop.h
+++ b/src/controller/probe_loop.h
@@ -1,4 +1,4 @@
-// The threads that probe machines whose heartbeats are missing.
+// The threads that probe machines with missing heartbeats.
 #pragma once
 
 #include <cstddef>
@@ -10,13 +10,13 @@
 
 namespace magpie {
 
-// Probes machines, several at a time. Apart from the direct commands, so that machines that hang
-// do not delay these.
+// Probes several machines concurrently. Its threads are separate from those for direct commands, so
+// that unresponsive machines do not delay the commands.
 class ProbeLoop {
  public:
   ProbeLoop(LeaderState& state, std::size_t threads);
 
-  // Begins the threads. They end with this object, once the present probes have ended.
+  // Starts the threads. The destructor stops them and waits for the probes in progress.
   void Start();
 
  private:
@@ -24,7 +24,8 @@
 
   LeaderState& state_;
   std::size_t thread_count_;
-  std::vector<std::jthread> threads_;  // last: end before what they use
+  std::vector<std::jthread>
+      threads_;  // declared last: joined before the other members are destroyed
 };
 
 }  // namespace magpie
--- a/src/controller/progress_cache.cc
+++ b/src/controller/progress_cache.cc
@@ -16,9 +16,9 @@
 using protocol::Json;
 
 constexpr Seconds kFetchInterval{2};
-constexpr Seconds kLifetime{8};  // of fetched counts
+constexpr Seconds kMaxAge{8};  // of fetched counts
 
-std::map<JobId, JobProgress> FromText(const std::string& text) {
+std::map<JobId, JobProgress> ProgressFromJsonText(const std::string& text) {
   std::map<JobId, JobProgress> progress;
   const Json body = protocol::ParseObject(text);
   for (const auto& [job, counts] : body.items())
@@ -41,33 +41,33 @@
     if (state_.scheduler().leading()) return state_.scheduler().GetJobProgress(job);
   }
   std::scoped_lock lock(mutex_);
-  if (!std::exchange(wanted_, true)) wanted_condition_.notify_one();
-  if (SteadyNow() - fetched_at_ > kLifetime) return std::nullopt;
+  if (!std::exchange(fetch_requested_, true)) fetch_requested_condition_.notify_one();
+  if (SteadyNow() - fetched_at_ > kMaxAge) return std::nullopt;
   const auto found = progress_.find(job);
   return found == progress_.end() ? JobProgress{} : found->second;
 }
 
-std::string ProgressCache::ToText(const std::map<JobId, JobProgress>& progress) {
+std::string ProgressCache::ToJsonText(const std::map<JobId, JobProgress>& progress) {
   Json body = Json::object();
   for (const auto& [job, counts] : progress) body[job.value] = {counts.done, counts.running};
   return body.dump();
 }
 
 void ProgressCache::Run(const std::stop_token& stop) {
-  while (WaitUntilWanted(stop)) {
+  while (WaitForFetchRequest(stop)) {
     Fetch();
-    SleepAbout(kFetchInterval, stop);
+    SleepWithJitter(kFetchInterval, stop);
   }
 }
 
-bool ProgressCache::WaitUntilWanted(const std::stop_token& stop) {
+bool ProgressCache::WaitForFetchRequest(const std::stop_token& stop) {
   const std::stop_callback wake_on_stop(stop, [this] {
     std::scoped_lock lock(mutex_);
-    wanted_condition_.notify_all();
+    fetch_requested_condition_.notify_all();
   });
   std::unique_lock lock(mutex_);
-  wanted_condition_.wait(lock, [&] { return wanted_ || stop.stop_requested(); });
-  wanted_ = false;
+  fetch_requested_condition_.wait(lock, [&] { return fetch_requested_ || stop.stop_requested(); });
+  fetch_requested_ = false;
   return !stop.stop_requested();
 }
 
@@ -76,7 +76,7 @@
   const auto body = peers_.FetchProgress(leader);
   if (!body) return;
   try {
-    Store(*body);
+    Update(*body);
   } catch (const protocol::InvalidMessage& error) {
     spdlog::warn("progress rejected peer={} error=\"{}\"", leader, error.what());
   } catch (const nlohmann::json::exception& error) {
@@ -84,8 +84,8 @@
   }
 }
 
-void ProgressCache::Store(const std::string& body) {
-  auto progress = FromText(body);
+void ProgressCache::Update(const std::string& body) {
+  auto progress = ProgressFromJsonText(body);
   std::scoped_lock lock(mutex_);
   progress_ = std::move(progress);
   fetched_at_ = SteadyNow();
--- a/src/controller/progress_cache.h
+++ b/src/controller/progress_cache.h
@@ -1,4 +1,4 @@
-// How many tasks of each job are done and running, as far as this controller knows.
+// A cache of the number of done and running tasks of each job.
 #pragma once
 
 #include <condition_variable>
@@ -16,34 +16,34 @@
 
 namespace magpie {
 
-// Answers from the scheduler while this controller leads. Otherwise from the leader's counts,
-// which its thread fetches at intervals while users ask for them. Thread safe.
+// Answers from the scheduler while this controller leads. On a follower, a thread fetches the
+// leader's counts at intervals while there are requests for them. Thread safe.
 class ProgressCache {
  public:
   ProgressCache(LeaderState& state, PeerClients& peers);
 
-  // Begins the thread. It ends with this object, once the present call has ended.
+  // Starts the thread. The destructor stops it and waits for the current call.
   void Start();
-  // What the leader knows of the job, at first hand or a little late; none: not known now.
+  // The job's counts, on a follower up to some seconds old. None if they are not available.
   std::optional<JobProgress> Find(const JobId& job);
 
-  // The counts as controllers pass them on: an object of pairs `done, running` by job.
-  static std::string ToText(const std::map<JobId, JobProgress>& progress);
+  // The counts as JSON for other controllers: an object that maps each job to `[done, running]`.
+  static std::string ToJsonText(const std::map<JobId, JobProgress>& progress);
 
  private:
   void Run(const std::stop_token& stop);
-  bool WaitUntilWanted(const std::stop_token& stop);
+  bool WaitForFetchRequest(const std::stop_token& stop);
   void Fetch();
-  void Store(const std::string& body);
+  void Update(const std::string& body);
 
   LeaderState& state_;
   PeerClients& peers_;
-  std::mutex mutex_;  // guards all below; not held across I/O
-  std::condition_variable wanted_condition_;
+  std::mutex mutex_;  // guards the members below; not held during I/O
+  std::condition_variable fetch_requested_condition_;
   std::map<JobId, JobProgress> progress_;
   Instant fetched_at_;
-  bool wanted_ = false;  // asked for since the latest fetch began
-  std::jthread thread_;  // last: ends before what it uses
+  bool fetch_requested_ = false;  // requested since the latest fetch started
+  std::jthread thread_;           // declared last: joined before the other members are destroyed
 };
 
 }  // namespace magpie
--- a/src/controller/redirect_tracker.h
+++ b/src/controller/redirect_tracker.h
@@ -1,4 +1,4 @@
-// Which workers a follower has sent to the leader.
+// Tracks the workers that a follower has redirected to the leader.
 #pragma once
 
 #include <cstddef>
@@ -10,31 +10,31 @@
 
 namespace magpie {
 
-// A worker that comes back soon after it was sent to the leader can't reach it: its heartbeat is
-// to be relayed. Without this, workers that never had the present leader's token would be sent to
-// and fro until their lease ends. Not thread safe.
+// A worker that returns soon after it was redirected can't reach the leader, so its heartbeat must
+// be relayed. Otherwise a worker without the current leader's token would be redirected back and
+// forth until its lease ends. Not thread safe.
 class RedirectTracker {
  public:
-  // `lease`: a worker's; later than that, coming back says nothing.
+  // `lease`: of workers. A worker that returns after a longer time may have reached the leader.
   explicit RedirectTracker(Seconds lease) : lease_(lease) {}
 
-  // Whether the worker is back from the leader; if not, it counts as sent there now.
+  // Whether the worker returned from the leader. If not, records that it is redirected now.
   bool ReturnedFromLeader(const MachineId& machine, Instant now) {
-    constexpr Seconds kMinAbsence{3};  // sooner, it may be a heartbeat sent twice
+    constexpr Seconds kMinAbsence{3};  // an earlier one may be a duplicate heartbeat
     constexpr std::size_t kMaxMachines = 4096;
-    if (sent_.size() >= kMaxMachines) sent_.clear();
-    const auto [it, inserted] = sent_.try_emplace(machine, now);
+    if (redirected_at_.size() >= kMaxMachines) redirected_at_.clear();
+    const auto [it, inserted] = redirected_at_.try_emplace(machine, now);
     if (inserted) return false;
     const Seconds absence = now - it->second;
     if (kMinAbsence < absence && absence < lease_) return true;
     it->second = now;
     return false;
   }
-  void OnLeaderChanged() { sent_.clear(); }
+  void OnLeaderChanged() { redirected_at_.clear(); }
 
  private:
   Seconds lease_;
-  std::map<MachineId, Instant> sent_;
+  std::map<MachineId, Instant> redirected_at_;
 };
 
 }  // namespace magpie
--- a/src/controller/retry.cc
+++ b/src/controller/retry.cc
@@ -9,7 +9,7 @@
 namespace magpie {
 namespace {
 
-Seconds Spread(Seconds mean) {
+Seconds WithJitter(Seconds mean) {
   std::uniform_real_distribution<double> factor(0.7, 1.3);
   return {mean.value * factor(ThreadRandom())};
 }
@@ -24,10 +24,12 @@
   stopped.wait_for(lock, stop, std::chrono::duration<double>(duration.value), [] { return false; });
 }
 
-void SleepAbout(Seconds mean, const std::stop_token& stop) { SleepFor(Spread(mean), stop); }
+void SleepWithJitter(Seconds mean, const std::stop_token& stop) {
+  SleepFor(WithJitter(mean), stop);
+}
 
-void SleepAbout(Seconds mean) {
-  std::this_thread::sleep_for(std::chrono::duration<double>(Spread(mean).value));
+void SleepWithJitter(Seconds mean) {
+  std::this_thread::sleep_for(std::chrono::duration<double>(WithJitter(mean).value));
 }
 
 }  // namespace magpie
--- a/src/controller/retry.h
+++ b/src/controller/retry.h
@@ -1,4 +1,4 @@
-// Pauses and retries of the loops that call the key-value store and the cloud.
+// Pauses and retries for the loops that call the key-value store and the cloud.
 #pragma once
 
 #include <cstdint>
@@ -9,22 +9,23 @@
 
 namespace magpie {
 
-// Blocks for the duration, or until `stop` is requested. Returns at once if it isn't positive.
+// Blocks for the duration or until `stop` is requested. Returns at once if the duration is not
+// positive.
 void SleepFor(Seconds duration, const std::stop_token& stop);
 
-// The same for a duration drawn from 0.7 to 1.3 times `mean`, so that callers do not act in step.
-void SleepAbout(Seconds mean, const std::stop_token& stop);
-void SleepAbout(Seconds mean);
+// Blocks for a random duration of 0.7 to 1.3 times `mean`, so that callers do not act in lockstep.
+void SleepWithJitter(Seconds mean, const std::stop_token& stop);
+void SleepWithJitter(Seconds mean);
 
-// Between failed calls of the loops that can't go on without an answer: short at first, since
-// most failures are, and never a storm of retries.
+// The delays between failed calls of a loop. They start short, since most failures are brief, and
+// grow to limit the rate of retries.
 inline Backoff LoopBackoff() { return {Seconds{0.15}, Seconds{1.5}}; }
 
-// Whether a step of a loop got what it asked for.
+// The result of one iteration of a loop; a failed one is retried after a delay.
 enum class StepResult : std::uint8_t { kSucceeded, kFailed };
 
-// Calls `step` again and again while `keep_going()` and `stop` is not requested. Sleeps after a
-// step that failed, longer each time; a step that succeeds resets `backoff`.
+// Calls `step` repeatedly while `keep_going()` is true and `stop` is not requested. Sleeps for the
+// next delay of `backoff` after each failed step; a successful step resets `backoff`.
 template <typename KeepGoing, typename Step>
 void RepeatWhile(const std::stop_token& stop, Backoff& backoff, KeepGoing keep_going, Step step) {
   while (!stop.stop_requested() && keep_going()) {
@@ -35,7 +36,7 @@
   }
 }
 
-// The same until `stop` is requested.
+// Calls `step` repeatedly until `stop` is requested.
 template <typename Step>
 void RepeatUntilStopped(const std::stop_token& stop, Backoff backoff, Step step) {
   RepeatWhile(stop, backoff, [] { return true; }, step);
--- a/src/controller/settings.h
+++ b/src/controller/settings.h
@@ -1,4 +1,4 @@
-// The platform's settings file (TOML) and the operators' properties (DEPLOY).
+// The platform's settings file (TOML) and the operators' properties file (see DEPLOY).
 #pragma once
 
 #include <stdexcept>
@@ -13,60 +13,61 @@
 
 namespace magpie {
 
-// The settings can't be read or used; the text is one line that names the key at fault.
+// The settings can't be read or are invalid. The message is one line that names the file or key.
 class InvalidSettings : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// Another controller.
-struct Member {
+// The settings of another controller.
+struct PeerSettings {
   std::string label;
   std::string zone;
   Address peer_address;
 };
 
-// What a controller is told of itself and its surroundings.
+// The settings of a controller.
 struct Settings {
-  std::string label;  // of this controller
+  std::string label;
   std::string zone;
-  Address api;           // where users and workers reach it
-  Address peer_address;  // where other controllers reach it
-  std::vector<Member> others;
-  Address cloud;
-  Address state;
+  Address api_address;   // for users and workers
+  Address peer_address;  // for other controllers
+  std::vector<PeerSettings> peers;
+  Address cloud_address;
+  Address store_address;  // of the key-value store
   std::vector<std::string> zones;
   std::vector<Team> teams;
   std::vector<Objective> objectives;
   Seconds heartbeat_interval;  // of workers
   Seconds lease;               // of workers
-  Seconds cancel;              // until the tasks of a cancelled job must be gone
-  std::uint32_t txn_ops = 16;  // puts and deletes in a transaction
-  double value_kb = 16;        // KiB of a value in the state service
-  double state_rps = 0;        // requests per second to the state service
-  double write_rps = 0;        // puts and deletes per second
-  double cloud_rps = 0;        // requests per second to the cloud
-  Seconds list_lag;            // of the cloud's machine list
-  std::uint32_t sockets = 0;   // that this controller may have open
-  double memory_mb = 0;        // that it may use; 0: not given
+  Seconds cancel_deadline;     // time limit for the tasks of a cancelled job to end
+  std::uint32_t max_transaction_operations = 16;  // puts and deletes
+  double max_value_kib = 16;
+  double store_requests_per_s = 0;
+  double store_writes_per_s = 0;  // puts and deletes
+  double cloud_requests_per_s = 0;
+  Seconds list_lag;  // maximum age of the cloud's machine list
+  std::uint32_t max_sockets = 0;
+  double max_memory_mb = 0;  // 0: not configured
 
-  // The operators' properties, with their defaults.
+  // --- The operators' properties and their defaults
   Seconds leader_lease{4};
   PlacementWeights weights;
-  Seconds idle{20};                // before an idle machine is released
-  Seconds heartbeat_timeout{12};   // before a silent machine is suspected
-  Seconds list_interval{3};        // interval of reading the cloud's machine list
-  double boot_timeout_factor = 4;  // multiple of the usual boot time to wait for a machine
-  std::uint32_t headroom = 1;
-  Seconds headroom_duration{600};
-  Seconds provision_retry_delay{90};  // after the cloud has refused a request for a kind of machine
-  std::uint32_t max_per_request = 50;  // machines in one request
+  Seconds idle_timeout{20};        // after which an idle machine is released
+  Seconds heartbeat_timeout{12};   // without a heartbeat, before a machine is suspected
+  Seconds list_interval{3};        // between reads of the cloud's machine list
+  double boot_timeout_factor = 4;  // multiple of the usual boot time, before a machine is given up
+  std::uint32_t headroom = 1;      // spare replicas of each class of services
+  Seconds headroom_duration{600};  // how long headroom is kept after the last arrival
+  Seconds provision_retry_delay{90};   // after the cloud had no capacity for a kind of machine
+  std::uint32_t max_per_request = 50;  // machines
 };
 
-// Each raises InvalidSettings. LoadProperties changes the settings that the file names.
+// Each function throws InvalidSettings. LoadProperties changes only the settings that the file
+// names.
 Settings LoadSettings(const std::string& toml_path);
 void LoadProperties(const std::string& path, Settings& settings);
-// For tests: the same from text.
+// For tests: LoadSettings from text.
 Settings ParseSettings(const std::string& toml_text);
 
 }  // namespace magpie
--- a/src/controller/status_lines.h
+++ b/src/controller/status_lines.h
@@ -1,5 +1,5 @@
-// The two lines of JSON that a leader logs about its work. tools/regress and tools/bench_report.py
-// read them.
+// The two JSON lines that a leader logs about its work, parsed by tools/regress and
+// tools/bench_report.py.
 #pragma once
 
 #include <string>
@@ -10,13 +10,13 @@
 
 namespace magpie {
 
-// `{"served":...}`: how each class and each team is served since the takeover.
+// `{"served":...}`: the service metrics of each class and team since the takeover.
 // `cancellations_loaded`: whether the leader may renew workers' leases.
 std::string ServiceMetricsLine(const std::string& leader, bool cancellations_loaded,
                                const ServiceMetrics::Table& table);
 
-// `{"start":...}`: when a takeover reached each of its steps, in seconds since the process
-// listened.
+// `{"start":...}`: the time of each step of a takeover, in seconds since the process started to
+// listen.
 std::string FailoverLine(const std::string& leader, Revision epoch,
                          const ReconciliationProgress& reconciliation,
                          const FailoverTimeline& timeline);
--- a/src/controller/takeover_loop.cc
+++ b/src/controller/takeover_loop.cc
@@ -19,8 +19,8 @@
 
 namespace {
 
-// Calls `load`, which decodes the record of `key` and passes it to the scheduler. A record that
-// can't be decoded is left out.
+// Calls `load`, which decodes the record at `key` and passes it to the scheduler. Skips a record
+// that can't be decoded.
 template <typename Load>
 void LoadRecord(const std::string& key, Load load) {
   try {
@@ -54,8 +54,8 @@
     spdlog::debug(
         "load failed epoch={} reason={}", leadership->epoch.value,
         loaded.status == LoadStatus::kLeadershipLost ? "leadership_lost" : "store_unavailable");
-    // Loading starts over with an empty scheduler. Otherwise each page would be loaded twice, the
-    // second time with no record still in use, and would be overwritten as empty.
+    // Restart loading with an empty scheduler. A page that is loaded a second time has no record
+    // that is still in use, so the scheduler would overwrite it with an empty page.
     std::scoped_lock lock(state_.mutex());
     if (state_.leadership() == leadership) state_.RestartScheduler();
     return StepResult::kFailed;
@@ -70,9 +70,9 @@
     if (result.status != LoadStatus::kLoaded) return result;
     if (first_read.value == 0) first_read = result.revision;
   }
-  // Reading may have lasted through an outage or a network partition. What a successor wrote since
-  // then must not be acted upon by us, who would take it for our own.
-  if (!IsRecorded(leadership, stop)) return {LoadStatus::kLeadershipLost, {}};
+  // A successor may have been elected during an outage or partition while this controller was
+  // reading. Its records must not be mistaken for those of this leadership and acted upon.
+  if (!IsRecordedInStore(leadership, stop)) return {LoadStatus::kLeadershipLost, {}};
   SchedulerStatus status;
   {
     std::scoped_lock lock(state_.mutex());
@@ -116,12 +116,12 @@
   });
 }
 
-bool TakeoverLoop::IsRecorded(const Leadership& leadership, const std::stop_token& stop) {
+bool TakeoverLoop::IsRecordedInStore(const Leadership& leadership, const std::stop_token& stop) {
   const Transaction compare{records::ConditionsOf(leadership), {}};
   std::optional<bool> recorded;
   Backoff backoff = LoopBackoff();
-  const auto undecided = [&] { return !recorded && state_.Holds(leadership); };
-  RepeatWhile(stop, backoff, undecided, [&] {
+  const auto unresolved = [&] { return !recorded && state_.HoldsLeadership(leadership); };
+  RepeatWhile(stop, backoff, unresolved, [&] {
     const StoreStatus status = store_.Commit(compare).status;
     if (status == StoreStatus::kOk || status == StoreStatus::kConflict)
       recorded = status == StoreStatus::kOk;
@@ -141,12 +141,12 @@
 void TakeoverLoop::Follow(const Leadership& leadership, Revision revision,
                           const std::stop_token& stop) {
   Backoff backoff = LoopBackoff();
-  const auto leading = [&] { return state_.Holds(leadership); };
+  const auto leading = [&] { return state_.HoldsLeadership(leadership); };
   RepeatWhile(stop, backoff, leading, [&] {
-    const WatchResult watch = watch_store_.Watch(records::kJobPrefix, revision, kMaxWatchBlock);
+    const WatchResult watch = watch_store_.Watch(records::kJobPrefix, revision, kWatchTimeout);
     if (watch.status != StoreStatus::kOk) return StepResult::kFailed;
     backoff.Reset();
-    JobsRead changes{watch.events, watch.revision};
+    JobEvents changes{watch.events, watch.revision};
     if (watch.too_old) {
       auto jobs = ReadJobs(leadership, backoff, stop);
       if (!jobs) return StepResult::kSucceeded;  // the leadership has ended
@@ -161,16 +161,16 @@
   });
 }
 
-// Jobs that are gone need no event: only we, as the leader, make jobs final.
-std::optional<TakeoverLoop::JobsRead> TakeoverLoop::ReadJobs(const Leadership& leadership,
-                                                             Backoff& backoff,
-                                                             const std::stop_token& stop) {
-  JobsRead jobs;
+// Removed jobs need no event, because only the leader, which is this controller, makes jobs final.
+std::optional<TakeoverLoop::JobEvents> TakeoverLoop::ReadJobs(const Leadership& leadership,
+                                                              Backoff& backoff,
+                                                              const std::stop_token& stop) {
+  JobEvents jobs;
   std::string after;
   for (bool more = true; more;) {
     const RangeResult range = store_.Range(records::kJobPrefix, after, kRangePageSize);
     if (range.status != StoreStatus::kOk) {
-      if (stop.stop_requested() || !state_.Holds(leadership)) return std::nullopt;
+      if (stop.stop_requested() || !state_.HoldsLeadership(leadership)) return std::nullopt;
       SleepFor(backoff.Next(ThreadRandom()), stop);
       continue;
     }
--- a/src/controller/takeover_loop.h
+++ b/src/controller/takeover_loop.h
@@ -1,4 +1,4 @@
-// The thread that loads the records after a takeover and follows them afterwards.
+// The thread that loads the records after a takeover and then watches the jobs.
 #pragma once
 
 #include <cstdint>
@@ -14,48 +14,48 @@
 
 namespace magpie {
 
-// While this controller leads, it has the scheduler load all jobs and task records, then applies
-// each change of the jobs' records.
+// After this controller becomes the leader, loads all jobs and record pages into the scheduler,
+// then applies each change of a job's record.
 class TakeoverLoop {
  public:
-  // `store` takes the reads, `watch_store` the watches, which block.
+  // `watch_store` is used for the watches, which block, and `store` for everything else.
   TakeoverLoop(LeaderState& state, KeyValueStore& store, KeyValueStore& watch_store);
 
-  // Begins the thread. It ends with this object, which may have to wait until a watch returns.
+  // Starts the thread. The destructor stops it and waits for the current watch to return.
   void Start();
 
  private:
   enum class LoadStatus : std::uint8_t { kLoaded, kStoreUnavailable, kLeadershipLost };
   struct LoadResult {
     LoadStatus status = LoadStatus::kStoreUnavailable;
-    Revision revision;  // of the first read: changes since then are to be watched
+    Revision revision;  // of the first read; the watch starts here
   };
 
   void Run(const std::stop_token& stop);
   LoadResult Load(const records::Leadership& leadership, const std::stop_token& stop);
   LoadResult LoadPrefix(const char* prefix, const records::Leadership& leadership);
-  // Whether the leadership stands in the records. Asks until the store answers, as long as we
-  // lead by our own view: a lost answer is no reason to load everything again.
-  bool IsRecorded(const records::Leadership& leadership, const std::stop_token& stop);
+  // Whether the store still has the leadership. Retries until the store answers or this controller
+  // finds that its leadership ended, since a lost answer does not justify loading everything again.
+  bool IsRecordedInStore(const records::Leadership& leadership, const std::stop_token& stop);
   void FinishLoad();
-  // Watches the jobs from `revision` on until the leadership ends.
+  // Applies the changes of jobs since `revision` until the leadership ends.
   void Follow(const records::Leadership& leadership, Revision revision,
               const std::stop_token& stop);
-  // Reads all jobs, as events; none if the leadership ends meanwhile.
-  struct JobsRead {
+  // Reads all jobs and returns them as events; none if the leadership ends first.
+  struct JobEvents {
     std::vector<WatchEvent> events;
     Revision revision;
   };
-  std::optional<JobsRead> ReadJobs(const records::Leadership& leadership, Backoff& backoff,
-                                   const std::stop_token& stop);
-  // With the mutex held.
+  std::optional<JobEvents> ReadJobs(const records::Leadership& leadership, Backoff& backoff,
+                                    const std::stop_token& stop);
+  // The caller of these holds the mutex.
   void ApplyJobEvent(const WatchEvent& event);
   void LoadEntry(const char* prefix, const StoreEntry& entry);
 
   LeaderState& state_;
   KeyValueStore& store_;
   KeyValueStore& watch_store_;
-  std::jthread thread_;  // last: ends before what it uses
+  std::jthread thread_;  // declared last: joined before the other members are destroyed
 };
 
 }  // namespace magpie
--- a/src/controller/user_api.cc
+++ b/src/controller/user_api.cc
@@ -24,16 +24,16 @@
 HttpResponse UserApi::HandleHeartbeat(const HttpRequest& request) {
   HttpResponse response = request.method == "POST"
                               ? heartbeats_.Handle(request.body, HeartbeatRoute::kDirect)
-                              : UseMethod("POST");
-  response.close_if_busy = true;  // workers outnumber the sockets
+                              : MethodNotAllowedResponse("POST");
+  response.close_if_busy = true;  // there are more workers than sockets
   return response;
 }
 
-// Unhealthy is a controller that reaches neither the key-value store nor any other controller.
-// When all have lost the store, they stay healthy: a load balancer without targets would only make
-// the outage longer.
+// A controller is unhealthy if it can reach neither the key-value store nor any peer. If no
+// controller can reach the store, all stay healthy, because a load balancer without targets would
+// only prolong the outage.
 HttpResponse UserApi::HandleHealthCheck(const HttpRequest& request) {
-  if (request.method != "GET") return UseMethod("GET");
+  if (request.method != "GET") return MethodNotAllowedResponse("GET");
   const bool healthy = state_.StoreReachable() || peers_.empty() || peers_.AnyReachable();
   return healthy ? HttpResponse{200, R"({"ok":true})"} : HttpResponse{503, R"({"ok":false})"};
 }
@@ -42,8 +42,8 @@
   const RequestPermit permit(user_requests_);
   const RequestKind kind = request.method == "GET" ? RequestKind::kPoll : RequestKind::kChange;
   if (!permit.Admits(kind)) return BusyResponse("busy", 1);
-  // A controller that may reach the key-value store is asked first if our latest call failed, and
-  // after ours has failed otherwise.
+  // If the latest call to the key-value store failed, try a peer first. Otherwise handle the
+  // request here and forward it only if the store turns out to be unreachable.
   const bool store_reachable = state_.StoreReachable();
   if (!store_reachable)
     if (auto response = peers_.ForwardJobRequest(request)) return *response;
--- a/src/controller/user_api.h
+++ b/src/controller/user_api.h
@@ -1,4 +1,4 @@
-// What workers and users ask of this controller.
+// The HTTP API for workers and users.
 #pragma once
 
 #include <cstddef>
@@ -12,11 +12,11 @@
 
 namespace magpie {
 
-// Answers heartbeats, health checks and users' requests. Thread safe; blocks on I/O.
+// Handles heartbeats, health checks and users' requests. Thread safe; blocks on I/O.
 class UserApi {
  public:
-  // `concurrent_requests`: how many the server has in progress at a time. Users' requests take a
-  // part of them, so that heartbeats and health checks get through a flood of these.
+  // `concurrent_requests`: the limit of concurrent requests on the server. Users' requests may use
+  // only a part of it, so that they can't starve heartbeats and health checks.
   UserApi(std::size_t concurrent_requests, LeaderState& state, HeartbeatHandler& heartbeats,
           JobRouter& jobs, PeerClients& peers);
 
--- a/src/controller/watch_settings.h
+++ b/src/controller/watch_settings.h
@@ -1,4 +1,4 @@
-// How the controller reads and watches the key-value store.
+// Parameters for reading and watching the key-value store.
 #pragma once
 
 #include <cstdint>
@@ -7,9 +7,9 @@
 
 namespace magpie {
 
-// How long a watch blocks when nothing changes.
-inline constexpr Seconds kMaxWatchBlock{15};
-// Entries of one range read.
+// A watch without changes returns after this time.
+inline constexpr Seconds kWatchTimeout{15};
+// The maximum number of entries in one range read.
 inline constexpr std::uint32_t kRangePageSize = 500;
 
 }  // namespace magpie
--- a/src/controller/write_loop.cc
+++ b/src/controller/write_loop.cc
@@ -34,8 +34,8 @@
 }
 
 void WriteLoop::Commit(const Work& work) {
-  const WriteBatchCommitter::Hooks hooks{[&] { return state_.Holds(work.leadership); },
-                                         [](Seconds mean) { SleepAbout(mean); }};
+  const WriteBatchCommitter::Hooks hooks{[&] { return state_.HoldsLeadership(work.leadership); },
+                                         [](Seconds mean) { SleepWithJitter(mean); }};
   WriteBatchCommitter committer(store_, hooks);
   const WriteOutcome outcome = committer.Write(work.batch, work.leadership);
   if (outcome.stale)
@@ -46,7 +46,7 @@
     wake_election_();
     return;
   }
-  if (outcome.status == WriteOutcome::Status::kRejected) SleepAbout(kPauseAfterRejection);
+  if (outcome.status == WriteOutcome::Status::kRejected) SleepWithJitter(kPauseAfterRejection);
   ApplyOutcome(work, outcome);
 }
 
@@ -65,7 +65,7 @@
         scheduler.LoadJob(job.record.spec, job.record.must_stop(), job.revision);
       scheduler.OnWriteRejected(work.batch);
       break;
-    case WriteOutcome::Status::kUnknown:  // only when deposed
+    case WriteOutcome::Status::kUnknown:  // only if deposed
     case WriteOutcome::Status::kGivenUp:  // the leadership has ended
       break;
   }
--- a/src/controller/write_loop.h
+++ b/src/controller/write_loop.h
@@ -12,14 +12,15 @@
 
 namespace magpie {
 
-// Commits one batch after the other and tells the scheduler the outcome. A leadership that the
-// store shows to be lost, or whose scheduler differs from the records, is relinquished.
+// Commits the batches one by one and passes each outcome to the scheduler. Relinquishes the
+// leadership if a write shows that it is lost or that the scheduler's state differs from the
+// records.
 class WriteLoop {
  public:
-  // `wake_election` is called after a leadership was relinquished.
+  // `wake_election` is called after the leadership was relinquished.
   WriteLoop(LeaderState& state, KeyValueStore& store, std::function<void()> wake_election);
 
-  // Begins the thread. It ends with this object, once the present batch is decided.
+  // Starts the thread. The destructor stops it and waits for the outcome of the current batch.
   void Start();
 
  private:
@@ -29,14 +30,14 @@
   };
 
   void Run(const std::stop_token& stop);
-  std::optional<Work> NextWork();  // with the mutex held
+  std::optional<Work> NextWork();  // the caller holds the mutex
   void Commit(const Work& work);
   void ApplyOutcome(const Work& work, const WriteOutcome& outcome);
 
   LeaderState& state_;
   KeyValueStore& store_;
   std::function<void()> wake_election_;
-  std::jthread thread_;  // last: ends before what it uses
+  std::jthread thread_;  // declared last: joined before the other members are destroyed
 };
 
 }  // namespace magpie
--- a/tests/controller_threads_test.cc
+++ b/tests/controller_threads_test.cc
@@ -1,4 +1,4 @@
-// The parts of the controller that have threads of their own: each can be begun and destroyed.
+// Tests of the controller's components that run threads: starting, stopping and basic function.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -19,7 +19,7 @@
 namespace magpie::testing {
 namespace {
 
-// Has no keys; the first watch sees a change.
+// An empty store whose first watch returns one change.
 class StubStore : public KeyValueStore {
  public:
   GetResult Get(const std::string& /*key*/) override { return {StoreStatus::kOk, std::nullopt}; }
@@ -45,15 +45,15 @@
 
 class ControllerThreadsTest : public ::testing::Test {
  protected:
-  LeaderElection::View ViewOfLeader() { return {true, records::Leadership{{7}, {8}}, "n0", {8}}; }
-  static LeaderElection::View ViewOfFollower() { return {true, std::nullopt, "n1", {9}}; }
+  LeaderElection::View LeaderView() { return {true, records::Leadership{{7}, {8}}, "n0", {8}}; }
+  static LeaderElection::View FollowerView() { return {true, std::nullopt, "n1", {9}}; }
 
   StubStore store_;
-  int other_leaders_ = 0;
-  LeaderState state_{{"n0", {}, {}, Seconds{3}, [this] { ++other_leaders_; }}};
+  int leader_changes_ = 0;
+  LeaderState state_{{"n0", {}, {}, Seconds{3}, [this] { ++leader_changes_; }}};
 };
 
-TEST_F(ControllerThreadsTest, ThreadsThatWaitForWorkEndWithTheirOwner) {
+TEST_F(ControllerThreadsTest, DestructorsStopThreadsWaitingForWork) {
   JobCache jobs(store_, Seconds{0}, {[] { return Instant{1}; }, [](Seconds) {}});
   CancellationRegistry cancellations(jobs, [](const JobCache::Cancellation&) {});
   PlanningLoop planning(state_, {"n0", 2, [] { return true; }});
@@ -68,10 +68,10 @@
   takeover.Start();
 }
 
-TEST_F(ControllerThreadsTest, ATakeoverLoadsTheRecords) {
+TEST_F(ControllerThreadsTest, TakeoverLoadsRecords) {
   TakeoverLoop takeover(state_, store_, store_);
   takeover.Start();
-  state_.OnElectionView(ViewOfLeader());
+  state_.OnElectionView(LeaderView());
   const auto loaded = [this] {
     std::scoped_lock lock(state_.mutex());
     return state_.scheduler().loaded();
@@ -82,28 +82,28 @@
   EXPECT_TRUE(loaded());
 }
 
-TEST_F(ControllerThreadsTest, AChangeOfTheControlKeysIsReported) {
+TEST_F(ControllerThreadsTest, ControlKeyChangeIsReported) {
   std::promise<void> changed;
   ControlKeyWatcher watcher(store_, [&] { changed.set_value(); });
   watcher.Start();
   EXPECT_EQ(changed.get_future().wait_for(std::chrono::seconds{10}), std::future_status::ready);
 }
 
-TEST_F(ControllerThreadsTest, ARelinquishedLeadershipIsNotResumed) {
-  const LeaderElection::View view = ViewOfLeader();
+TEST_F(ControllerThreadsTest, RelinquishedLeadershipIsNotResumed) {
+  const LeaderElection::View view = LeaderView();
   state_.OnElectionView(view);
-  ASSERT_TRUE(state_.Holds(*view.leadership));
-  EXPECT_EQ(other_leaders_, 1);
+  ASSERT_TRUE(state_.HoldsLeadership(*view.leadership));
+  EXPECT_EQ(leader_changes_, 1);
   state_.Relinquish(*view.leadership);
   EXPECT_TRUE(state_.IsRelinquished(view));
   state_.OnElectionView(view);
-  EXPECT_FALSE(state_.Holds(*view.leadership));
-  state_.OnElectionView(ViewOfFollower());
+  EXPECT_FALSE(state_.HoldsLeadership(*view.leadership));
+  state_.OnElectionView(FollowerView());
   EXPECT_EQ(state_.leader_label(), "n1");
-  EXPECT_EQ(other_leaders_, 2);
+  EXPECT_EQ(leader_changes_, 2);
 }
 
-TEST(Retry, StepsAreRepeatedWhileTheConditionHolds) {
+TEST(RetryTest, StepsRepeatWhileConditionHolds) {
   int steps = 0;
   Backoff backoff({0.001}, {0.002});
   RepeatWhile(
@@ -112,7 +112,7 @@
   EXPECT_EQ(steps, 3);
 }
 
-TEST(Retry, ASleepEndsWhenItsThreadIsStopped) {
+TEST(RetryTest, SleepEndsWhenThreadIsStopped) {
   const auto begin = std::chrono::steady_clock::now();
   {
     const std::jthread sleeper([](const std::stop_token& stop) { SleepFor({60}, stop); });
--- a/tests/golden_file.h
+++ b/tests/golden_file.h
@@ -1,5 +1,5 @@
-// Golden files: the exact bytes of messages, stored records and settings, in tests/golden/.
-// A change of these bytes breaks workers, clients or records that are already stored.
+// Access to the golden files in tests/golden/, which hold the exact bytes of messages, stored
+// records and settings. A change of these bytes breaks workers, clients or records already stored.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -16,19 +16,19 @@
   return std::string(MAGPIE_GOLDEN_DIR) + "/" + name;
 }
 
-// The file's bytes, without the line end that closes it.
+// The file's content without the final newline.
 inline std::string GoldenText(const std::string& name) {
   std::ifstream file(GoldenPath(name), std::ios::binary);
   EXPECT_TRUE(file.is_open()) << "no golden file " << name;
   std::ostringstream text;
   text << file.rdbuf();
   std::string bytes = text.str();
-  EXPECT_TRUE(bytes.ends_with('\n')) << name << " has no line end";
+  EXPECT_TRUE(bytes.ends_with('\n')) << name << " has no final newline";
   if (bytes.ends_with('\n')) bytes.pop_back();
   return bytes;
 }
 
-// The file's lines, for files with one message or one key a line.
+// The lines of a file that has one message or key per line.
 inline std::vector<std::string> GoldenLines(const std::string& name) {
   std::istringstream text(GoldenText(name));
   std::vector<std::string> lines;
@@ -36,7 +36,7 @@
   return lines;
 }
 
-// The name of a parameterised test: the behaviour that its row states.
+// Names a parameterised test after the `name` field of its parameter.
 struct RowName {
   template <typename Info>
   std::string operator()(const Info& info) const {
--- a/tests/golden_http_test.cc
+++ b/tests/golden_http_test.cc
@@ -1,5 +1,5 @@
-// The calls to the state service, the cloud and workers: method, path, body and how the answers
-// are read, byte for byte, against tests/golden/protocol/.
+// Compares the HTTP calls to the key-value store, the cloud and workers with
+// tests/golden/protocol/: method, path and body byte for byte, and how each answer is decoded.
 #include <mutex>
 
 #include "cloud/cloud_client.h"
@@ -12,13 +12,13 @@
 namespace magpie::testing {
 namespace {
 
-// Answers requests with scripted answers, in order, and keeps what was asked.
+// Returns scripted answers in order and records the requests.
 class ScriptedServer {
  public:
-  // Each answer: a status, a space and a body.
+  // Each answer consists of a status, a space and a body.
   explicit ScriptedServer(std::vector<std::string> answers)
       : answers_(std::move(answers)),
-        server_([this](const HttpRequest& request) { return Answer(request); }, {}) {
+        server_([this](const HttpRequest& request) { return Respond(request); }, {}) {
     EXPECT_TRUE(server_.Start({"127.0.0.1", 0}));
   }
   Address address() const { return {"127.0.0.1", server_.port()}; }
@@ -28,7 +28,7 @@
   }
 
  private:
-  HttpResponse Answer(const HttpRequest& request) {
+  HttpResponse Respond(const HttpRequest& request) {
     std::lock_guard lock(mutex_);
     const std::string body = request.body.empty() ? "" : " " + request.body;
     requests_.push_back(request.method + " " + request.path + body);
@@ -44,14 +44,15 @@
   HttpServer server_;
 };
 
-std::string Ok(const std::string& file) { return "200 " + GoldenText(file); }
+std::string OkAnswer(const std::string& file) { return "200 " + GoldenText(file); }
 
-// --- the state service
+// --- key-value store
 
-class StateServiceGoldenTest : public ::testing::Test {
+class KeyValueStoreGoldenTest : public ::testing::Test {
  protected:
-  // Expects the request in that line of the file, and answers it with the same line's answer.
-  void Expect(std::size_t line) {
+  // Expects the request in this line of the requests file and returns the same line of the answers
+  // file.
+  void ExpectRequest(std::size_t line) {
     const std::vector<std::string> answers = GoldenLines("protocol/state_answers.txt");
     const std::vector<std::string> requests = GoldenLines("protocol/state_requests.txt");
     ASSERT_EQ(answers.size(), requests.size());
@@ -71,8 +72,8 @@
   std::vector<std::string> expected_;
 };
 
-TEST_F(StateServiceGoldenTest, KeyIsRead) {
-  Expect(0);
+TEST_F(KeyValueStoreGoldenTest, GetReturnsEntry) {
+  ExpectRequest(0);
   const GetResult result = store_->Get("a/b");
   EXPECT_EQ(result.status, StoreStatus::kOk);
   ASSERT_TRUE(result.entry);
@@ -81,15 +82,15 @@
   EXPECT_EQ(result.entry->revision, Revision{412});
 }
 
-TEST_F(StateServiceGoldenTest, AbsentKeyIsReadAsNone) {
-  Expect(1);
+TEST_F(KeyValueStoreGoldenTest, GetOfAbsentKeyReturnsNoEntry) {
+  ExpectRequest(1);
   const GetResult result = store_->Get("c/d");
   EXPECT_EQ(result.status, StoreStatus::kOk);
   EXPECT_FALSE(result.entry);
 }
 
-TEST_F(StateServiceGoldenTest, FirstPageOfARangeIsRead) {
-  Expect(2);
+TEST_F(KeyValueStoreGoldenTest, RangeReturnsFirstPage) {
+  ExpectRequest(2);
   const RangeResult result = store_->Range("c/", "", 200);
   EXPECT_EQ(result.status, StoreStatus::kOk);
   EXPECT_TRUE(result.more);
@@ -103,8 +104,8 @@
   EXPECT_EQ(result.entries[1].revision, Revision{413});
 }
 
-TEST_F(StateServiceGoldenTest, LaterPageOfARangeIsRead) {
-  Expect(3);
+TEST_F(KeyValueStoreGoldenTest, RangeReturnsLaterPage) {
+  ExpectRequest(3);
   const RangeResult result = store_->Range("c/", "c/7", 200);
   EXPECT_EQ(result.status, StoreStatus::kOk);
   EXPECT_FALSE(result.more);
@@ -112,41 +113,41 @@
   EXPECT_TRUE(result.entries.empty());
 }
 
-TEST_F(StateServiceGoldenTest, TransactionIsCarriedOut) {
-  Expect(4);
+TEST_F(KeyValueStoreGoldenTest, TransactionIsCommitted) {
+  ExpectRequest(4);
   const TransactionResult result = store_->Commit(GoldenTransaction());
   EXPECT_EQ(result.status, StoreStatus::kOk);
   EXPECT_EQ(result.revision, Revision{432});
   EXPECT_TRUE(result.failed.empty());
 }
 
-TEST_F(StateServiceGoldenTest, ConflictNamesTheFailedConditions) {
-  Expect(5);
+TEST_F(KeyValueStoreGoldenTest, ConflictNamesFailedConditions) {
+  ExpectRequest(5);
   const TransactionResult result = store_->Commit(GoldenTransaction());
   EXPECT_EQ(result.status, StoreStatus::kConflict);
   EXPECT_EQ(result.revision, Revision{431});
   EXPECT_EQ(result.failed, std::vector<std::string>{"a/b"});
 }
 
-TEST_F(StateServiceGoldenTest, LeaseIsGranted) {
-  Expect(6);
+TEST_F(KeyValueStoreGoldenTest, LeaseIsGranted) {
+  ExpectRequest(6);
   const LeaseResult result = store_->Grant(Seconds{5});
   EXPECT_EQ(result.status, StoreStatus::kOk);
   EXPECT_EQ(result.lease, LeaseId{7});
 }
 
-TEST_F(StateServiceGoldenTest, LeaseIsRenewed) {
-  Expect(7);
+TEST_F(KeyValueStoreGoldenTest, LeaseIsRenewed) {
+  ExpectRequest(7);
   EXPECT_EQ(store_->KeepAlive({7}), StoreStatus::kOk);
 }
 
-TEST_F(StateServiceGoldenTest, LeaseThatEndedIsNotRenewed) {
-  Expect(8);
+TEST_F(KeyValueStoreGoldenTest, EndedLeaseIsNotRenewed) {
+  ExpectRequest(8);
   EXPECT_EQ(store_->KeepAlive({7}), StoreStatus::kInvalid);
 }
 
-TEST_F(StateServiceGoldenTest, WatchTellsChanges) {
-  Expect(9);
+TEST_F(KeyValueStoreGoldenTest, WatchReturnsChanges) {
+  ExpectRequest(9);
   const WatchResult result = store_->Watch("c/", {431}, Seconds{10});
   EXPECT_EQ(result.status, StoreStatus::kOk);
   EXPECT_FALSE(result.too_old);
@@ -161,19 +162,20 @@
   EXPECT_EQ(result.events[1].revision, Revision{432});
 }
 
-TEST_F(StateServiceGoldenTest, WatchThatIsTooOldSaysSo) {
-  Expect(10);
+TEST_F(KeyValueStoreGoldenTest, WatchReportsRevisionTooOld) {
+  ExpectRequest(10);
   const WatchResult result = store_->Watch("c/", {1}, Seconds{0});
   EXPECT_EQ(result.status, StoreStatus::kOk);
   EXPECT_TRUE(result.too_old);
 }
 
-// --- the cloud
+// --- cloud
 
-TEST(CloudGoldenTest, CallsAreMadeAsInTheFile) {
-  ScriptedServer server({Ok("protocol/machine_types.json"), Ok("protocol/machine_ids.json"),
-                         R"(503 {"error":"no capacity"})", "200 {}",
-                         Ok("protocol/machine_page.json"), Ok("protocol/machine_page_last.json")});
+TEST(CloudGoldenTest, CallsMatchFile) {
+  ScriptedServer server({OkAnswer("protocol/machine_types.json"),
+                         OkAnswer("protocol/machine_ids.json"), R"(503 {"error":"no capacity"})",
+                         "200 {}", OkAnswer("protocol/machine_page.json"),
+                         OkAnswer("protocol/machine_page_last.json")});
   CloudClient cloud(server.address(), Seconds{5});
   const auto types = cloud.Types();
   ASSERT_TRUE(types);
@@ -192,8 +194,8 @@
 
 // --- workers
 
-TEST(WorkerGoldenTest, DirectCommandsAndProbesAreSentAsInTheFile) {
-  ScriptedServer server({Ok("protocol/report_all_states.json"),
+TEST(WorkerGoldenTest, DirectCommandsAndProbesMatchFile) {
+  ScriptedServer server({OkAnswer("protocol/report_all_states.json"),
                          "409 " + GoldenText("protocol/report_with_notice.json")});
   DirectCommand direct_command;
   direct_command.addr = "127.0.0.1:" + std::to_string(server.address().port);
--- a/tests/golden_jobs.h
+++ b/tests/golden_jobs.h
@@ -1,4 +1,4 @@
-// The jobs that the golden files hold, as values.
+// The jobs in the golden files, as JobSpec values.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 
 namespace magpie::testing {
 
-// All fields set but the zone.
+// An array job with all fields set except the zone.
 inline JobSpec GoldenArrayJob() {
   return {.id = {"j-000412"},
           .job_class = "train",
@@ -31,7 +31,7 @@
           .submitted = {}};
 }
 
-// A service: any machine type, one zone, no deadline, never saved.
+// A service in one zone, on any machine type, without deadline, checkpoints or saving.
 inline JobSpec GoldenServiceJob() {
   return {.id = {"j-7"},
           .job_class = "counter-desk",
@@ -54,7 +54,7 @@
           .submitted = {}};
 }
 
-// Nothing optional, and the largest number of tasks.
+// A job without optional fields and with the maximum number of tasks.
 inline JobSpec GoldenSmallestJob(Priority priority) {
   return {.id = {"j-000001"},
           .job_class = "hitlog-sort",
@@ -90,7 +90,7 @@
   EXPECT_EQ(job.spot, expected.spot);
 }
 
-// Compares field by field, so that a failure names the field.
+// Compares each field separately, so that a failure names the field.
 inline void ExpectSameJob(const JobSpec& job, const JobSpec& expected) {
   EXPECT_EQ(job.id, expected.id);
   EXPECT_EQ(job.job_class, expected.job_class);
--- a/tests/golden_protocol_test.cc
+++ b/tests/golden_protocol_test.cc
@@ -1,4 +1,4 @@
-// The protocol's messages, byte for byte, against tests/golden/protocol/.
+// Compares the messages of the protocol with tests/golden/protocol/, byte for byte.
 #include <functional>
 #include <ostream>
 
@@ -21,115 +21,125 @@
           {CommandKind::kForget, {{"j-000398"}, 0}, {1}, {}}};
 }
 
-// --- messages that are read and written
+// --- messages that are decoded and encoded
 
 struct RoundTrip {
   const char* name;
   const char* file;
-  std::function<Json(const Json&)> rewrite;
+  std::function<Json(const Json&)> reencode;
 };
-void PrintTo(const RoundTrip& row, std::ostream* out) { *out << row.file; }
+void PrintTo(const RoundTrip& message, std::ostream* out) { *out << message.file; }
 
 class ProtocolGoldenRoundTripTest : public ::testing::TestWithParam<RoundTrip> {};
 
-TEST_P(ProtocolGoldenRoundTripTest, IsWrittenAsItWasRead) {
+TEST_P(ProtocolGoldenRoundTripTest, EncodesToOriginalBytes) {
   const std::string text = GoldenText(GetParam().file);
-  EXPECT_EQ(GetParam().rewrite(Json::parse(text)).dump(), text);
+  EXPECT_EQ(GetParam().reencode(Json::parse(text)).dump(), text);
 }
 
-Json RewriteReport(const Json& body) {
+Json ReencodeHeartbeat(const Json& body) {
   return protocol::HeartbeatToJson(protocol::HeartbeatFromJson(body));
 }
-Json RewriteCommands(const Json& body) {
+Json ReencodeCommands(const Json& body) {
   return protocol::CommandsToJson(protocol::CommandsFromJson(body));
 }
-Json RewriteMachineIds(const Json& body) {
+Json ReencodeMachineIds(const Json& body) {
   return protocol::MachineIdsToJson(protocol::MachineIdsFromJson(body));
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Messages, ProtocolGoldenRoundTripTest,
-    ::testing::Values(
-        RoundTrip{"ReportOfAllTaskStates", "protocol/report_all_states.json", RewriteReport},
-        RoundTrip{"ReportWithNotice", "protocol/report_with_notice.json", RewriteReport},
-        RoundTrip{"Commands", "protocol/commands.json", RewriteCommands},
-        RoundTrip{"MachineIds", "protocol/machine_ids.json", RewriteMachineIds},
-        RoundTrip{"NoMachineIds", "protocol/machine_ids_none.json", RewriteMachineIds}),
+    ::testing::Values(RoundTrip{"HeartbeatWithAllTaskStates", "protocol/report_all_states.json",
+                                ReencodeHeartbeat},
+                      RoundTrip{"HeartbeatWithPreemptionNotice", "protocol/report_with_notice.json",
+                                ReencodeHeartbeat},
+                      RoundTrip{"Commands", "protocol/commands.json", ReencodeCommands},
+                      RoundTrip{"MachineIds", "protocol/machine_ids.json", ReencodeMachineIds},
+                      RoundTrip{"NoMachineIds", "protocol/machine_ids_none.json",
+                                ReencodeMachineIds}),
     RowName{});
 
-// --- messages that are only written
+// --- messages that are only encoded
 
-struct Written {
+struct EncodedMessage {
   const char* name;
   const char* file;
-  std::function<Json()> write;
+  std::function<Json()> encode;
 };
-void PrintTo(const Written& row, std::ostream* out) { *out << row.file; }
+void PrintTo(const EncodedMessage& message, std::ostream* out) { *out << message.file; }
 
-class ProtocolGoldenWriteTest : public ::testing::TestWithParam<Written> {};
+class ProtocolGoldenWriteTest : public ::testing::TestWithParam<EncodedMessage> {};
 
-TEST_P(ProtocolGoldenWriteTest, IsWrittenAsInTheFile) {
-  EXPECT_EQ(GetParam().write().dump(), GoldenText(GetParam().file));
+TEST_P(ProtocolGoldenWriteTest, EncodingMatchesFile) {
+  EXPECT_EQ(GetParam().encode().dump(), GoldenText(GetParam().file));
 }
 
-std::function<Json()> Answer(const char* state) {
+std::function<Json()> JobAnswerEncoder(const char* state) {
   return [state] { return protocol::JobStatusReplyToJson({{"j-000412"}, state, 16, 13}, false); };
 }
 
-std::function<Json()> State(const char* state, std::uint32_t done, std::uint32_t running) {
+std::function<Json()> JobStateEncoder(const char* state, std::uint32_t done,
+                                      std::uint32_t running) {
   return [=] { return protocol::JobStatusReplyToJson({{"j-000412"}, state, done, running}, true); };
 }
 
 INSTANTIATE_TEST_SUITE_P(
     JobAnswers, ProtocolGoldenWriteTest,
-    ::testing::Values(
-        Written{"Accepted", "protocol/job_answer_accepted.json", Answer(protocol::kQueued)},
-        Written{"Cancelled", "protocol/job_answer_cancelled.json", Answer(protocol::kCancelled)},
-        Written{"AlreadyDone", "protocol/job_answer_already_done.json", Answer(protocol::kDone)},
-        Written{"StateQueued", "protocol/job_state_queued.json", State(protocol::kQueued, 0, 0)},
-        Written{"StateRunning", "protocol/job_state_running.json",
-                State(protocol::kRunning, 3, 13)},
-        Written{"StateDone", "protocol/job_state_done.json", State(protocol::kDone, 16, 0)},
-        Written{"StateCancelled", "protocol/job_state_cancelled.json",
-                State(protocol::kCancelled, 5, 0)}),
+    ::testing::Values(EncodedMessage{"Accepted", "protocol/job_answer_accepted.json",
+                                     JobAnswerEncoder(protocol::kQueued)},
+                      EncodedMessage{"Cancelled", "protocol/job_answer_cancelled.json",
+                                     JobAnswerEncoder(protocol::kCancelled)},
+                      EncodedMessage{"AlreadyDone", "protocol/job_answer_already_done.json",
+                                     JobAnswerEncoder(protocol::kDone)},
+                      EncodedMessage{"StateQueued", "protocol/job_state_queued.json",
+                                     JobStateEncoder(protocol::kQueued, 0, 0)},
+                      EncodedMessage{"StateRunning", "protocol/job_state_running.json",
+                                     JobStateEncoder(protocol::kRunning, 3, 13)},
+                      EncodedMessage{"StateDone", "protocol/job_state_done.json",
+                                     JobStateEncoder(protocol::kDone, 16, 0)},
+                      EncodedMessage{"StateCancelled", "protocol/job_state_cancelled.json",
+                                     JobStateEncoder(protocol::kCancelled, 5, 0)}),
     RowName{});
 
 INSTANTIATE_TEST_SUITE_P(
     WorkerMessages, ProtocolGoldenWriteTest,
     ::testing::Values(
-        Written{"Reply", "protocol/reply.json",
-                [] { return protocol::HeartbeatResponseToJson({41}, GoldenCommands()); }},
-        Written{"ReplyWithoutCommands", "protocol/reply_without_commands.json",
-                [] { return protocol::HeartbeatResponseToJson({18446744073709551615U}, {}); }},
-        Written{"Redirect", "protocol/redirect.json",
-                [] { return protocol::RedirectToJson("nestbox-2"); }},
-        Written{"DirectCommands", "protocol/direct_commands.json",
-                [] { return protocol::DirectCommandToJson({41}, 3, GoldenCommands()); }},
-        Written{"DirectProbe", "protocol/direct_probe.json",
-                [] { return protocol::DirectCommandToJson({41}, 3, {}); }}),
+        EncodedMessage{"HeartbeatResponse", "protocol/reply.json",
+                       [] { return protocol::HeartbeatResponseToJson({41}, GoldenCommands()); }},
+        EncodedMessage{
+            "HeartbeatResponseWithoutCommands", "protocol/reply_without_commands.json",
+            [] { return protocol::HeartbeatResponseToJson({18446744073709551615U}, {}); }},
+        EncodedMessage{"Redirect", "protocol/redirect.json",
+                       [] { return protocol::RedirectToJson("nestbox-2"); }},
+        EncodedMessage{"DirectCommands", "protocol/direct_commands.json",
+                       [] { return protocol::DirectCommandToJson({41}, 3, GoldenCommands()); }},
+        EncodedMessage{"DirectProbe", "protocol/direct_probe.json",
+                       [] { return protocol::DirectCommandToJson({41}, 3, {}); }}),
     RowName{});
 
 INSTANTIATE_TEST_SUITE_P(
     CloudAndStateMessages, ProtocolGoldenWriteTest,
     ::testing::Values(
-        Written{"RentSpot", "protocol/rent.json",
-                [] { return protocol::ProvisionToJson("r-17", "g8", "a", true, 12); }},
-        Written{"RentOrdinary", "protocol/rent_ordinary.json",
-                [] {
-                  return protocol::ProvisionToJson("nestbox-0-3-1", "c16", "kochi-port", false, 50);
-                }},
-        Written{"Transaction", "protocol/transaction.json",
-                [] {
-                  return TransactionToJson({{{"a/b", {0}}, {"c/d", {18446744073709551615U}}},
-                                            {{"a/b", Json{{"text", "x"}}, LeaseId{7}},
-                                             {"a/c", Json::array({1, 2.5, nullptr}), std::nullopt},
-                                             {"c/d", std::nullopt, std::nullopt}}});
-                }},
-        Written{"TransactionThatOnlyCompares", "protocol/transaction_compare_only.json",
-                [] { return TransactionToJson({{{"c/epoch", {9}}}, {}}); }}),
+        EncodedMessage{"ProvisionSpot", "protocol/rent.json",
+                       [] { return protocol::ProvisionToJson("r-17", "g8", "a", true, 12); }},
+        EncodedMessage{"ProvisionOnDemand", "protocol/rent_ordinary.json",
+                       [] {
+                         return protocol::ProvisionToJson("nestbox-0-3-1", "c16", "kochi-port",
+                                                          false, 50);
+                       }},
+        EncodedMessage{"Transaction", "protocol/transaction.json",
+                       [] {
+                         return TransactionToJson(
+                             {{{"a/b", {0}}, {"c/d", {18446744073709551615U}}},
+                              {{"a/b", Json{{"text", "x"}}, LeaseId{7}},
+                               {"a/c", Json::array({1, 2.5, nullptr}), std::nullopt},
+                               {"c/d", std::nullopt, std::nullopt}}});
+                       }},
+        EncodedMessage{"TransactionWithConditionsOnly", "protocol/transaction_compare_only.json",
+                       [] { return TransactionToJson({{{"c/epoch", {9}}}, {}}); }}),
     RowName{});
 
-TEST(ProtocolGoldenTest, PathsAreThoseOfTheProtocol) {
+TEST(ProtocolGoldenTest, PathsMatchFile) {
   const std::vector<std::string> paths{
       protocol::kJobsPath,      protocol::kCancelSuffix, protocol::kHealthPath,
       protocol::kHeartbeatPath, protocol::kCommandsPath, protocol::kInspectPath,
@@ -137,24 +147,24 @@
   EXPECT_EQ(paths, GoldenLines("protocol/paths.txt"));
 }
 
-TEST(ProtocolGoldenTest, MachineListIsAskedPageByPage) {
+TEST(ProtocolGoldenTest, MachineListQueriesMatchFile) {
   const std::vector<std::string> queries{protocol::MachineListQuery({}, 500),
                                          protocol::MachineListQuery({"vm-000230"}, 500)};
   EXPECT_EQ(queries, GoldenLines("protocol/machine_list_queries.txt"));
 }
 
-// --- messages that are only read
+// --- messages that are only decoded
 
 struct SubmittedJob {
   const char* name;
   const char* file;
   JobSpec expected;
 };
-void PrintTo(const SubmittedJob& row, std::ostream* out) { *out << row.file; }
+void PrintTo(const SubmittedJob& message, std::ostream* out) { *out << message.file; }
 
 class ProtocolGoldenJobTest : public ::testing::TestWithParam<SubmittedJob> {};
 
-TEST_P(ProtocolGoldenJobTest, IsReadFieldByField) {
+TEST_P(ProtocolGoldenJobTest, IsDecoded) {
   ExpectSameJob(protocol::JobFromUser(ParsedFile(GetParam().file)), GetParam().expected);
 }
 
@@ -176,7 +186,7 @@
   EXPECT_EQ(task.saved, expected.saved);
 }
 
-void ExpectSameReport(const Heartbeat& heartbeat, const Heartbeat& expected) {
+void ExpectSameHeartbeat(const Heartbeat& heartbeat, const Heartbeat& expected) {
   EXPECT_EQ(heartbeat.machine, expected.machine);
   EXPECT_EQ(heartbeat.addr, expected.addr);
   EXPECT_EQ(heartbeat.type, expected.type);
@@ -193,13 +203,13 @@
   }
 }
 
-Heartbeat ReportOf(std::vector<TaskStatus> tasks) {
+Heartbeat HeartbeatWith(std::vector<TaskStatus> tasks) {
   return {{"vm-000231"}, "10.1.0.232:9000", "g8", "a", true, 1, 88, {41},
           std::nullopt,  std::move(tasks)};
 }
 
-TaskStatus Ended(std::uint32_t index, std::uint64_t attempt, ExitReason reason,
-                 bool saved = false) {
+TaskStatus EndedTask(std::uint32_t index, std::uint64_t attempt, ExitReason reason,
+                     bool saved = false) {
   return {{{"j-000398"}, index}, {attempt}, TaskState::kEnded, reason, saved};
 }
 
@@ -207,26 +217,26 @@
   return {{{{"j-000412"}, 3}, {2}, TaskState::kRunning, ExitReason::kNone, false},
           {{{"j-000412"}, 4}, {1}, TaskState::kFetching, ExitReason::kNone, false},
           {{{"j-7"}, 0}, {3}, TaskState::kSaving, ExitReason::kNone, false},
-          Ended(0, 1, ExitReason::kDone),
-          Ended(1, 1, ExitReason::kStopped),
-          Ended(2, 5, ExitReason::kStopped, true),
-          Ended(3, 1, ExitReason::kError),
-          Ended(4, 1, ExitReason::kInsufficientCapacity),
-          Ended(5, 2, ExitReason::kBusy),
-          Ended(99999, 1, ExitReason::kUnknown)};
+          EndedTask(0, 1, ExitReason::kDone),
+          EndedTask(1, 1, ExitReason::kStopped),
+          EndedTask(2, 5, ExitReason::kStopped, true),
+          EndedTask(3, 1, ExitReason::kError),
+          EndedTask(4, 1, ExitReason::kInsufficientCapacity),
+          EndedTask(5, 2, ExitReason::kBusy),
+          EndedTask(99999, 1, ExitReason::kUnknown)};
 }
 
-TEST(ProtocolGoldenTest, ReportOfAllTaskStatesIsReadFieldByField) {
-  ExpectSameReport(protocol::HeartbeatFromJson(ParsedFile("protocol/report_all_states.json")),
-                   ReportOf(AllTaskStates()));
+TEST(ProtocolGoldenTest, HeartbeatWithAllTaskStatesIsDecoded) {
+  ExpectSameHeartbeat(protocol::HeartbeatFromJson(ParsedFile("protocol/report_all_states.json")),
+                      HeartbeatWith(AllTaskStates()));
 }
 
-TEST(ProtocolGoldenTest, ReportWithNullNoticeIsReadFieldByField) {
-  ExpectSameReport(protocol::HeartbeatFromJson(ParsedFile("protocol/report_notice_null.json")),
-                   ReportOf({AllTaskStates().front(), Ended(0, 1, ExitReason::kDone)}));
+TEST(ProtocolGoldenTest, HeartbeatWithNullPreemptionNoticeIsDecoded) {
+  ExpectSameHeartbeat(protocol::HeartbeatFromJson(ParsedFile("protocol/report_notice_null.json")),
+                      HeartbeatWith({AllTaskStates().front(), EndedTask(0, 1, ExitReason::kDone)}));
 }
 
-TEST(ProtocolGoldenTest, ReportWithNoticeAndLargestCountsIsReadFieldByField) {
+TEST(ProtocolGoldenTest, HeartbeatWithPreemptionNoticeAndMaximumCountsIsDecoded) {
   Heartbeat expected;
   expected.machine = {"vm-000008"};
   expected.addr = "10.1.0.9:9000";
@@ -236,11 +246,11 @@
   expected.sequence = 18446744073709551615U;
   expected.token = {18446744073709551614U};
   expected.preemption_notice = Seconds{61.5};
-  ExpectSameReport(protocol::HeartbeatFromJson(ParsedFile("protocol/report_with_notice.json")),
-                   expected);
+  ExpectSameHeartbeat(protocol::HeartbeatFromJson(ParsedFile("protocol/report_with_notice.json")),
+                      expected);
 }
 
-TEST(ProtocolGoldenTest, CommandsAreReadFieldByField) {
+TEST(ProtocolGoldenTest, CommandsAreDecoded) {
   const std::vector<Command> commands =
       protocol::CommandsFromJson(Json::parse(GoldenText("protocol/commands.json")));
   const std::vector<Command> expected = GoldenCommands();
@@ -267,12 +277,12 @@
   EXPECT_EQ(type.zones, expected.zones);
 }
 
-TEST(ProtocolGoldenTest, MachineTypesAreReadFieldByField) {
+TEST(ProtocolGoldenTest, MachineTypesAreDecoded) {
   const std::vector<MachineType> types =
       protocol::TypesFromJson(ParsedFile("protocol/machine_types.json"));
   ASSERT_EQ(types.size(), 2U);
   ExpectSameType(types[0], {"g8", {96, 8, 768}, 200, 1, 12, 4.5, {45}, {"a", "b"}});
-  // Without a spot price the ordinary one counts.
+  // A type without a spot price uses the on-demand price.
   ExpectSameType(types[1], {"c16", {16, 0, 64.5}, 60, 0.5, 1.25, 1.25, {20}, {"kochi-port"}});
 }
 
@@ -286,7 +296,7 @@
   EXPECT_EQ(machine.age, expected.age);
 }
 
-TEST(ProtocolGoldenTest, MachinePageIsReadFieldByField) {
+TEST(ProtocolGoldenTest, MachinePageIsDecoded) {
   using State = ListedMachine::State;
   const protocol::MachinePage page =
       protocol::MachinePageFromJson(ParsedFile("protocol/machine_page.json"));
@@ -300,14 +310,14 @@
                     {{"vm-000233"}, "", "c16", "b", false, State::kFailed, {3600}});
 }
 
-TEST(ProtocolGoldenTest, LastMachinePageSaysThatNoMoreFollow) {
+TEST(ProtocolGoldenTest, LastMachinePageHasNoMorePages) {
   const protocol::MachinePage page =
       protocol::MachinePageFromJson(ParsedFile("protocol/machine_page_last.json"));
   EXPECT_FALSE(page.more);
   EXPECT_TRUE(page.machines.empty());
 }
 
-TEST(ProtocolGoldenTest, RentedMachinesAreReadInOrder) {
+TEST(ProtocolGoldenTest, ProvisionedMachinesAreDecodedInOrder) {
   const std::vector<MachineId> expected{{"vm-000231"}, {"vm-000232"}};
   EXPECT_EQ(protocol::MachineIdsFromJson(ParsedFile("protocol/machine_ids.json")), expected);
 }
--- a/tests/golden_record_test.cc
+++ b/tests/golden_record_test.cc
@@ -1,5 +1,5 @@
-// The stored records and the transactions that write them, byte for byte, against
-// tests/golden/records/.
+// Compares the stored records and the transactions that write them with tests/golden/records/, byte
+// for byte.
 #include <functional>
 #include <ostream>
 
@@ -21,39 +21,40 @@
 
 Json ParsedRecord(const std::string& file) { return Json::parse(GoldenText(file)); }
 
-// --- records that are read and written
+// --- records that are decoded and encoded
 
 struct StoredRecord {
   const char* name;
   const char* file;
-  std::function<Json(const Json&)> rewrite;
+  std::function<Json(const Json&)> reencode;
 };
-void PrintTo(const StoredRecord& row, std::ostream* out) { *out << row.file; }
+void PrintTo(const StoredRecord& record_case, std::ostream* out) { *out << record_case.file; }
 
 class RecordGoldenRoundTripTest : public ::testing::TestWithParam<StoredRecord> {};
 
-TEST_P(RecordGoldenRoundTripTest, IsWrittenAsItWasRead) {
+TEST_P(RecordGoldenRoundTripTest, EncodesToOriginalBytes) {
   const std::string text = GoldenText(GetParam().file);
-  EXPECT_EQ(GetParam().rewrite(Json::parse(text)).dump(), text);
+  EXPECT_EQ(GetParam().reencode(Json::parse(text)).dump(), text);
 }
 
-Json RewriteJob(const Json& value) { return records::ToJson(records::JobFromJson(value)); }
-Json RewritePage(const Json& value) {
+Json ReencodeJob(const Json& value) { return records::ToJson(records::JobFromJson(value)); }
+Json ReencodePage(const Json& value) {
   return records::ToJson(records::RecordPageFromJson({}, value));
 }
-Json RewriteFinal(const Json& value) { return records::ToJson(records::FinalFromJson(value)); }
+Json ReencodeFinal(const Json& value) { return records::ToJson(records::FinalFromJson(value)); }
 
 INSTANTIATE_TEST_SUITE_P(
     Records, RecordGoldenRoundTripTest,
-    ::testing::Values(StoredRecord{"LiveJob", "records/job_live.json", RewriteJob},
-                      StoredRecord{"StoppingJob", "records/job_stopping.json", RewriteJob},
-                      StoredRecord{"CancelledJob", "records/job_cancelled.json", RewriteJob},
+    ::testing::Values(StoredRecord{"LiveJob", "records/job_live.json", ReencodeJob},
+                      StoredRecord{"StoppingJob", "records/job_stopping.json", ReencodeJob},
+                      StoredRecord{"CancelledJob", "records/job_cancelled.json", ReencodeJob},
                       StoredRecord{"JobCancelledInOneStep",
-                                   "records/job_cancelled_in_one_step.json", RewriteJob},
-                      StoredRecord{"Page", "records/page.json", RewritePage},
-                      StoredRecord{"EmptyPage", "records/page_empty.json", RewritePage},
-                      StoredRecord{"FinalDone", "records/final_done.json", RewriteFinal},
-                      StoredRecord{"FinalCancelled", "records/final_cancelled.json", RewriteFinal}),
+                                   "records/job_cancelled_in_one_step.json", ReencodeJob},
+                      StoredRecord{"Page", "records/page.json", ReencodePage},
+                      StoredRecord{"EmptyPage", "records/page_empty.json", ReencodePage},
+                      StoredRecord{"FinalDone", "records/final_done.json", ReencodeFinal},
+                      StoredRecord{"FinalCancelled", "records/final_cancelled.json",
+                                   ReencodeFinal}),
     RowName{});
 
 // --- jobs
@@ -65,11 +66,11 @@
   bool stopping;
   bool cancelled;
 };
-void PrintTo(const StoredJob& row, std::ostream* out) { *out << row.file; }
+void PrintTo(const StoredJob& record_case, std::ostream* out) { *out << record_case.file; }
 
 class RecordGoldenJobTest : public ::testing::TestWithParam<StoredJob> {};
 
-TEST_P(RecordGoldenJobTest, IsReadFieldByField) {
+TEST_P(RecordGoldenJobTest, IsDecoded) {
   const records::JobRecord record = records::JobFromJson(ParsedRecord(GetParam().file));
   JobSpec expected = GetParam().spec;
   expected.submitted = kSubmitted;
@@ -78,7 +79,7 @@
   EXPECT_EQ(record.cancelled, GetParam().cancelled);
 }
 
-TEST_P(RecordGoldenJobTest, IsWrittenAsInTheFile) {
+TEST_P(RecordGoldenJobTest, EncodingMatchesFile) {
   records::JobRecord record{GetParam().spec, GetParam().stopping, GetParam().cancelled};
   record.spec.submitted = kSubmitted;
   EXPECT_EQ(records::ToJson(record).dump(), GoldenText(GetParam().file));
@@ -95,14 +96,14 @@
                                 GoldenSmallestJob(Priority::kLow), false, true}),
     RowName{});
 
-TEST(RecordGoldenTest, SubmittedJobBecomesTheLiveRecord) {
+TEST(RecordGoldenTest, SubmittedJobIsEncodedAsLiveRecord) {
   JobSpec spec =
       protocol::JobFromUser(protocol::ParseObject(GoldenText("protocol/job_array.json")));
   spec.submitted = kSubmitted;
   EXPECT_EQ(protocol::JobToRecord(spec).dump(), GoldenText("records/job_live.json"));
 }
 
-// --- pages and final records
+// --- record pages and final records
 
 void ExpectSameTaskRecords(const std::vector<RecordPageEntry>& page,
                            const std::vector<RecordPageEntry>& expected) {
@@ -125,16 +126,16 @@
           {{"j-7"}, {1, {1}, false, {}, ""}}};
 }
 
-TEST(RecordGoldenTest, PageIsReadFieldByField) {
+TEST(RecordGoldenTest, PageIsDecoded) {
   const Json value = ParsedRecord("records/page.json");
   ExpectSameTaskRecords(records::RecordPageFromJson({{}, 18}, value), GoldenPage());
 }
 
-TEST(RecordGoldenTest, PageIsWrittenAsInTheFile) {
+TEST(RecordGoldenTest, PageEncodingMatchesFile) {
   EXPECT_EQ(records::ToJson(GoldenPage()).dump(), GoldenText("records/page.json"));
 }
 
-TEST(RecordGoldenTest, BlockOfAnEarlierVersionIsReadFieldByField) {
+TEST(RecordGoldenTest, BlockOfEarlierVersionIsDecoded) {
   const Json value = ParsedRecord("records/block.json");
   const JobId job{"j-000412"};
   ExpectSameTaskRecords(records::RecordPageFromJson({job, 3}, value),
@@ -143,7 +144,7 @@
                          {job, {99999, {3}, false, {}, ""}}});
 }
 
-TEST(RecordGoldenTest, FinalRecordsAreReadFieldByField) {
+TEST(RecordGoldenTest, FinalRecordsAreDecoded) {
   const auto done = records::FinalFromJson(ParsedRecord("records/final_done.json"));
   EXPECT_EQ(done.state, JobOutcome::kDone);
   EXPECT_EQ(done.tasks, 16U);
@@ -154,7 +155,7 @@
 
 // --- keys
 
-TEST(RecordGoldenTest, KeysAreNamedAsInTheFile) {
+TEST(RecordGoldenTest, KeysMatchFile) {
   const JobId job{"j-000412"};
   const std::vector<std::string> keys{
       records::kControlPrefix,    records::kLeaderKey,     records::kEpochKey,
@@ -164,7 +165,7 @@
   EXPECT_EQ(keys, GoldenLines("records/keys.txt"));
 }
 
-TEST(RecordGoldenTest, OnlyKeysOfPagesAndBlocksAreReadAsSuch) {
+TEST(RecordGoldenTest, OnlyPageAndBlockKeysAreParsed) {
   const std::vector<std::string> keys = GoldenLines("records/keys.txt");
   ASSERT_EQ(keys.size(), 11U);
   for (std::size_t i = 0; i + 2 < keys.size(); ++i)
@@ -175,7 +176,7 @@
 
 // --- transactions
 
-WriteBatch FullPlan() {
+WriteBatch FullWriteBatch() {
   WriteBatch::Put changed_page;
   changed_page.key.number = 18;
   changed_page.expected = {40};
@@ -187,21 +188,21 @@
   block.key = {{"j-000412"}, 3};
   block.expected = {12};
 
-  WriteBatch plan;
-  plan.puts = {changed_page, new_page};
-  plan.drops = {block};
-  plan.finals = {{{"j-000398"}, JobOutcome::kDone, 6}, {{"j-9"}, JobOutcome::kCancelled, 1}};
-  plan.expected_job_revisions = {{{"j-000412"}, {31}}, {{"j-000398"}, {30}}};
-  return plan;
+  WriteBatch batch;
+  batch.puts = {changed_page, new_page};
+  batch.drops = {block};
+  batch.finals = {{{"j-000398"}, JobOutcome::kDone, 6}, {{"j-9"}, JobOutcome::kCancelled, 1}};
+  batch.expected_job_revisions = {{{"j-000412"}, {31}}, {{"j-000398"}, {30}}};
+  return batch;
 }
 
-TEST(RecordGoldenTest, FullWritePlanIsOneTransaction) {
-  const Transaction transaction = records::ToTransaction(FullPlan(), {{41}, {42}});
+TEST(RecordGoldenTest, FullWriteBatchIsOneTransaction) {
+  const Transaction transaction = records::ToTransaction(FullWriteBatch(), {{41}, {42}});
   EXPECT_EQ(TransactionToJson(transaction).dump(),
             GoldenText("records/write_plan_transaction.json"));
 }
 
-TEST(RecordGoldenTest, MemberLeaderAndEpochAreWrittenAsInTheFile) {
+TEST(RecordGoldenTest, ElectionTransactionsMatchFile) {
   RecordingStore store;
   LeaderElection election(store, kLabel, kNonce, {4});
   ASSERT_TRUE(election.Step().leadership);
@@ -209,8 +210,8 @@
   EXPECT_EQ(store.transactions, GoldenLines("records/membership_transactions.txt"));
 }
 
-// Puts what the transaction at `line` puts, under the same lease.
-void Replay(FakeStore& store, const std::string& line) {
+// Commits the puts of the transaction in `line`, with the same lease.
+void CommitPuts(FakeStore& store, const std::string& line) {
   Transaction transaction;
   const Json body = Json::parse(line);
   for (const Json& put : body.at("apply")) {
@@ -221,37 +222,37 @@
   ASSERT_EQ(store.Commit(transaction).status, StoreStatus::kOk);
 }
 
-// A store that holds the leader, epoch and member keys of the file.
+// Fills the store with the leader, epoch and member keys of the golden file.
 void FillWithLeader(FakeStore& store) {
   const std::vector<std::string> lines = GoldenLines("records/membership_transactions.txt");
   ASSERT_EQ(lines.size(), 4U);
   ASSERT_EQ(store.Grant({4}).lease.value, 1U);
-  for (std::size_t i = 0; i < 3; ++i) Replay(store, lines[i]);
+  for (std::size_t i = 0; i < 3; ++i) CommitPuts(store, lines[i]);
 }
 
-TEST(RecordGoldenTest, LeaderAndEpochAreReadByAnotherController) {
+TEST(RecordGoldenTest, OtherControllerDecodesLeaderAndEpoch) {
   FakeStore store;
   FillWithLeader(store);
-  LeaderElection other(store, "nestbox-1", "77", {4});
-  const LeaderElection::View& view = other.Step();
+  LeaderElection other_election(store, "nestbox-1", "77", {4});
+  const LeaderElection::View& view = other_election.Step();
   EXPECT_EQ(view.leader, kLabel);
   EXPECT_EQ(view.epoch, Revision{3});
   EXPECT_FALSE(view.leadership);
 }
 
-TEST(RecordGoldenTest, LeaderAndEpochAreReadByTheRunThatWroteThem) {
+TEST(RecordGoldenTest, SameRunRecognizesItsLeadership) {
   FakeStore store;
   FillWithLeader(store);
-  LeaderElection same_run(store, kLabel, kNonce, {4});
-  const auto leadership = same_run.Step().leadership;
+  LeaderElection same_run_election(store, kLabel, kNonce, {4});
+  const auto leadership = same_run_election.Step().leadership;
   ASSERT_TRUE(leadership);
   EXPECT_EQ(leadership->leader, Revision{2});
   EXPECT_EQ(leadership->epoch, Revision{3});
 }
 
-// --- what users' requests write
+// --- transactions of users' requests
 
-JobApi::Hooks HooksOfOneController() {
+JobApi::Hooks SingleControllerHooks() {
   return {
       [] { return std::vector<MachineType>{{"g8", {96, 8, 768}, 200, 1, 12, 4.5, {45}, {"a"}}}; },
       [](const JobId&) { return std::nullopt; },
@@ -261,9 +262,9 @@
       [](const JobId&, Revision) { return true; }};
 }
 
-TEST(RecordGoldenTest, SubmissionAndBothStepsOfACancellationAreWrittenAsInTheFile) {
+TEST(RecordGoldenTest, SubmissionAndCancellationTransactionsMatchFile) {
   RecordingStore store;
-  JobApi api(store, {{"vision"}}, {"a"}, Seconds{0}, {}, HooksOfOneController());
+  JobApi api(store, {{"vision"}}, {"a"}, Seconds{0}, {}, SingleControllerHooks());
   const HttpResponse accepted = api.Submit(GoldenText("protocol/job_array.json"));
   EXPECT_EQ(accepted.status, 201);
   EXPECT_EQ(accepted.body, GoldenText("protocol/job_answer_accepted.json"));
--- a/tests/settings_test.cc
+++ b/tests/settings_test.cc
@@ -1,4 +1,4 @@
-// Settings are checked; what is wrong is named by its key.
+// Tests that invalid settings are rejected with an error that names the key.
 #include "controller/settings.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 namespace magpie::testing {
 namespace {
 
-const char kGood[] = R"(
+const char kValidSettings[] = R"(
 label = "n0"
 site = "a"
 api_addr = "10.0.0.1:8080"
@@ -50,17 +50,17 @@
 sockets = 900
 )";
 
-std::string Without(const std::string& line) {
-  std::string text = kGood;
-  const auto at = text.find(line);
-  return text.erase(at, line.size());
+std::string SettingsWithout(const std::string& line) {
+  std::string text = kValidSettings;
+  const auto position = text.find(line);
+  return text.erase(position, line.size());
 }
 
-std::string Complaint(const std::string& text) {
+std::string ParseError(const std::string& text) {
   try {
     ParseSettings(text);
-  } catch (const InvalidSettings& e) {
-    return e.what();
+  } catch (const InvalidSettings& error) {
+    return error.what();
   }
   return "";
 }
@@ -78,42 +78,45 @@
   std::string path_;
 };
 
-TEST(SettingsTest, ReadsKnownKeysAndIgnoresUnknownOnes) {
-  const Settings s = ParseSettings(kGood);
-  EXPECT_EQ(s.label, "n0");
-  EXPECT_EQ(s.others.at(0).peer_address.port, 8081);
-  EXPECT_EQ(s.teams.at(0).cpus_max, 8);
-  EXPECT_EQ(s.objectives.at(0).job_class, "");
-  EXPECT_EQ(s.txn_ops, 32U);
-  EXPECT_EQ(s.lease.value, 18);
+TEST(SettingsTest, ReadsKnownKeysAndIgnoresUnknownKeys) {
+  const Settings settings = ParseSettings(kValidSettings);
+  EXPECT_EQ(settings.label, "n0");
+  EXPECT_EQ(settings.peers.at(0).peer_address.port, 8081);
+  EXPECT_EQ(settings.teams.at(0).cpus_max, 8);
+  EXPECT_EQ(settings.objectives.at(0).job_class, "");
+  EXPECT_EQ(settings.max_transaction_operations, 32U);
+  EXPECT_EQ(settings.lease.value, 18);
 }
 
-TEST(SettingsTest, ErrorsNameTheKey) {
-  EXPECT_EQ(Complaint(Without("state = \"10.2.0.1:2379\"\n")).substr(0, 15), "endpoints.state");
-  EXPECT_EQ(Complaint(Without("lease_s = 18.0\n")).substr(0, 23), "cluster.workers.lease_s");
-  EXPECT_EQ(Complaint(Without("name = \"red\"\n")).substr(0, 21), "cluster.teams[0].name");
-  EXPECT_NE(Complaint("label = ").find("settings"), std::string::npos);
-  std::string bad = kGood;
-  bad.replace(bad.find("10.0.0.1:8080"), 13, "localhost:8080");
-  EXPECT_EQ(Complaint(bad).substr(0, 8), "api_addr");
+TEST(SettingsTest, ErrorsNameKey) {
+  EXPECT_EQ(ParseError(SettingsWithout("state = \"10.2.0.1:2379\"\n")).substr(0, 15),
+            "endpoints.state");
+  EXPECT_EQ(ParseError(SettingsWithout("lease_s = 18.0\n")).substr(0, 23),
+            "cluster.workers.lease_s");
+  EXPECT_EQ(ParseError(SettingsWithout("name = \"red\"\n")).substr(0, 21), "cluster.teams[0].name");
+  EXPECT_NE(ParseError("label = ").find("settings"), std::string::npos);
+  std::string invalid = kValidSettings;
+  invalid.replace(invalid.find("10.0.0.1:8080"), 13, "localhost:8080");
+  EXPECT_EQ(ParseError(invalid).substr(0, 8), "api_addr");
 }
 
-TEST(PropertiesTest, ReadsKnownKeysAndRejectsUnknownOnes) {
-  Settings s = ParseSettings(kGood);
-  LoadProperties(PropertyFile("placement.alpha = 1.5\n# a remark\nfleet.headroom=2\n").path(), s);
-  EXPECT_EQ(s.weights.alpha, 1.5);
-  EXPECT_EQ(s.headroom, 2U);
-  auto complaint = [&](const std::string& text) -> std::string {
+TEST(PropertiesTest, ReadsKnownKeysAndRejectsInvalidOnes) {
+  Settings settings = ParseSettings(kValidSettings);
+  LoadProperties(PropertyFile("placement.alpha = 1.5\n# a remark\nfleet.headroom=2\n").path(),
+                 settings);
+  EXPECT_EQ(settings.weights.alpha, 1.5);
+  EXPECT_EQ(settings.headroom, 2U);
+  auto load_error = [&](const std::string& text) -> std::string {
     try {
-      LoadProperties(PropertyFile(text).path(), s);
-    } catch (const InvalidSettings& e) {
-      return e.what();
+      LoadProperties(PropertyFile(text).path(), settings);
+    } catch (const InvalidSettings& error) {
+      return error.what();
     }
     return "";
   };
-  EXPECT_EQ(complaint("placement.gamma = 1\n").substr(0, 15), "placement.gamma");
-  EXPECT_EQ(complaint("fleet.idle_s = soon\n").substr(0, 12), "fleet.idle_s");
-  EXPECT_EQ(complaint("fleet.idle_s = -1\n").substr(0, 12), "fleet.idle_s");
+  EXPECT_EQ(load_error("placement.gamma = 1\n").substr(0, 15), "placement.gamma");
+  EXPECT_EQ(load_error("fleet.idle_s = soon\n").substr(0, 12), "fleet.idle_s");
+  EXPECT_EQ(load_error("fleet.idle_s = -1\n").substr(0, 12), "fleet.idle_s");
 }
 
 }  // namespace
