--- a/src/controller/control_key_watcher.h
+++ b/src/controller/control_key_watcher.h
@@ -10,7 +10,7 @@
 
 namespace magpie {
 
-// Calls `on_change` after each change of a control key (prefix records::kControlPrefix).
+// Calls `on_change` after each change of a key under records::kControlPrefix.
 class ControlKeyWatcher {
  public:
   ControlKeyWatcher(KeyValueStore& store, std::function<void()> on_change);
--- a/tests/golden_protocol_test.cc
+++ b/tests/golden_protocol_test.cc
@@ -74,7 +74,7 @@
   EXPECT_EQ(GetParam().encode().dump(), GoldenText(GetParam().file));
 }
 
-std::function<Json()> JobAnswerEncoder(const char* state) {
+std::function<Json()> JobReplyEncoder(const char* state) {
   return [state] { return protocol::JobStatusReplyToJson({{"j-000412"}, state, 16, 13}, false); };
 }
 
@@ -86,11 +86,11 @@
 INSTANTIATE_TEST_SUITE_P(
     JobAnswers, ProtocolGoldenWriteTest,
     ::testing::Values(EncodedMessage{"Accepted", "protocol/job_answer_accepted.json",
-                                     JobAnswerEncoder(protocol::kQueued)},
+                                     JobReplyEncoder(protocol::kQueued)},
                       EncodedMessage{"Cancelled", "protocol/job_answer_cancelled.json",
-                                     JobAnswerEncoder(protocol::kCancelled)},
+                                     JobReplyEncoder(protocol::kCancelled)},
                       EncodedMessage{"AlreadyDone", "protocol/job_answer_already_done.json",
-                                     JobAnswerEncoder(protocol::kDone)},
+                                     JobReplyEncoder(protocol::kDone)},
                       EncodedMessage{"StateQueued", "protocol/job_state_queued.json",
                                      JobStateEncoder(protocol::kQueued, 0, 0)},
                       EncodedMessage{"StateRunning", "protocol/job_state_running.json",
