--- a/src/agent/journal.cc
+++ b/src/agent/journal.cc
@@ -38,18 +38,18 @@
   Statement(const Statement&) = delete;
   Statement& operator=(const Statement&) = delete;
 
-  Statement& Bind(int at, std::uint64_t value) {
-    if (sqlite3_bind_int64(statement_, at, static_cast<std::int64_t>(value)) != SQLITE_OK)
-      journal_.Fail("bind");
+  Statement& Bind(int index, std::uint64_t value) {
+    if (sqlite3_bind_int64(statement_, index, static_cast<std::int64_t>(value)) != SQLITE_OK)
+      journal_.Fail("bind parameter");
     return *this;
   }
-  Statement& Bind(int at, const std::string& value) {
-    if (sqlite3_bind_text(statement_, at, value.data(), static_cast<int>(value.size()),
+  Statement& Bind(int index, const std::string& value) {
+    if (sqlite3_bind_text(statement_, index, value.data(), static_cast<int>(value.size()),
                           SQLITE_TRANSIENT) != SQLITE_OK)
-      journal_.Fail("bind");
+      journal_.Fail("bind parameter");
     return *this;
   }
-  // Whether there is another row.
+  // Advances to the next row. Returns false if there is none.
   bool Step() {
     const int code = sqlite3_step(statement_);
     if (code != SQLITE_ROW && code != SQLITE_DONE) journal_.Fail(sqlite3_sql(statement_));
@@ -101,25 +101,28 @@
 }
 
 void Journal::Verify() {
-  const auto damaged = [this](const std::string& what) {
-    throw JournalError(JournalError::Kind::kDamaged, options_.path + ": " + what);
+  const auto throw_damaged = [this](const std::string& problem) {
+    throw JournalError(JournalError::Kind::kDamaged, options_.path + ": " + problem);
   };
-  if (QueryNumber("PRAGMA application_id") != kApplicationId) damaged("not a journal of an agent");
+  if (QueryNumber("PRAGMA application_id") != kApplicationId)
+    throw_damaged("not an agent journal (unexpected application_id)");
   const std::uint64_t version = QueryNumber("PRAGMA user_version");
   if (version > kSchemaVersion)
     throw JournalError(JournalError::Kind::kNewer,
-                       options_.path + ": of version " + std::to_string(version) +
-                           ", this agent knows up to " + std::to_string(kSchemaVersion));
+                       options_.path + ": journal schema version " + std::to_string(version) +
+                           " is newer than the latest supported version " +
+                           std::to_string(kSchemaVersion));
   Statement check(*this, "PRAGMA integrity_check(1)");
-  if (!check.Step() || check.Text(0) != "ok") damaged("its pages do not hold together");
-  if (QueryNumber("SELECT count(*) FROM worker") != 1) damaged("the worker's row is gone");
+  if (!check.Step() || check.Text(0) != "ok") throw_damaged("integrity check failed");
+  if (QueryNumber("SELECT count(*) FROM worker") != 1)
+    throw_damaged("the worker table does not have exactly one row");
 }
 
 Worker::DurableState Journal::Load() {
   Worker::DurableState state;
   {
     Statement row(*this, "SELECT session, reserved, token FROM worker");
-    if (!row.Step()) Fail("load");
+    if (!row.Step()) Fail("read worker row");
     state.agent_epoch = agent_epoch_ = row.Number(0);
     state.sequence = reserved_ = row.Number(1);
     state.token = token_ = FencingToken{row.Number(2)};
@@ -130,33 +133,33 @@
   return state;
 }
 
-// Numbers never decrease, whatever is asked: two agents that share a journal by mistake would
-// otherwise undo what the other one has reported.
-void Journal::Keep(std::uint64_t agent_epoch, std::uint64_t sequence, FencingToken token) {
+// The SQL max() keeps stored values from decreasing: two agents that share a journal by mistake
+// would otherwise overwrite each other's higher values.
+void Journal::SaveCounters(std::uint64_t agent_epoch, std::uint64_t sequence, FencingToken token) {
   if (agent_epoch <= agent_epoch_ && sequence <= reserved_ && token <= token_) return;
-  const std::uint64_t reserve =
+  const std::uint64_t new_reserved =
       sequence <= reserved_ ? reserved_ : sequence + options_.sequence_step;
   Statement update(*this,
                    "UPDATE worker SET session = max(session, ?1), reserved = max(reserved, ?2),"
                    " token = max(token, ?3)");
-  update.Bind(1, agent_epoch).Bind(2, reserve).Bind(3, token.value).Step();
+  update.Bind(1, agent_epoch).Bind(2, new_reserved).Bind(3, token.value).Step();
   agent_epoch_ = std::max(agent_epoch_, agent_epoch);
-  reserved_ = reserve;
+  reserved_ = new_reserved;
   token_ = std::max(token_, token);
 }
 
-void Journal::KeepDone(const TaskId& task) {
+void Journal::RecordCompletedTask(const TaskId& task) {
   Statement insert(*this, "INSERT OR IGNORE INTO done VALUES (?1, ?2)");
   insert.Bind(1, task.job.value).Bind(2, task.index).Step();
 }
 
-void Journal::DropJob(const JobId& job) {
-  Statement drop(*this, "DELETE FROM done WHERE job = ?1");
-  drop.Bind(1, job.value).Step();
+void Journal::DeleteJobResults(const JobId& job) {
+  Statement deletion(*this, "DELETE FROM done WHERE job = ?1");
+  deletion.Bind(1, job.value).Step();
 }
 
 void Journal::Execute(const char* sql) {
-  if (sqlite3_exec(db_.get(), sql, nullptr, nullptr, nullptr) != SQLITE_OK) Fail("set up");
+  if (sqlite3_exec(db_.get(), sql, nullptr, nullptr, nullptr) != SQLITE_OK) Fail("execute");
 }
 
 std::uint64_t Journal::QueryNumber(const char* sql) {
@@ -166,7 +169,7 @@
 
 void Journal::Fail(const char* action) {
   const int code = db_ == nullptr ? SQLITE_NOMEM : sqlite3_extended_errcode(db_.get());
-  const std::string text = db_ == nullptr ? "no memory" : sqlite3_errmsg(db_.get());
+  const std::string text = db_ == nullptr ? "out of memory" : sqlite3_errmsg(db_.get());
   throw JournalError(KindOf(code), options_.path + ": " + text + " (" + action + ")");
 }
 
--- a/src/agent/journal.h
+++ b/src/agent/journal.h
@@ -1,6 +1,6 @@
-// What a worker must remember over a restart, durably in SQLite: its session, the highest token it
-// has seen and the numbers of its messages, which never decrease (PROTOCOL, "POST /checkin"), and
-// the tasks whose results are kept.
+// Durable state of a worker, stored in SQLite: its agent epoch, the highest fencing token it has
+// seen, its sequence numbers, and the tasks whose results are kept. The epoch, the token and the
+// sequence numbers never decrease, even across restarts (PROTOCOL, "POST /checkin").
 #pragma once
 
 #include <cstdint>
@@ -14,15 +14,15 @@
 
 namespace magpie::agent {
 
-// What is wrong with a journal; the text is one line for the operator. The agent must then take no
-// new work; what is running stays as it is.
+// A journal failure; the message is a single line for the operator. After a failure the agent must
+// not start new tasks, and running tasks continue.
 class JournalError : public std::runtime_error {
  public:
   enum class Kind : std::uint8_t {
-    kDamaged,  // no journal, or not all of it can be read
-    kNewer,    // written by a later version of the agent
-    kFull,     // the disk, or Options::max_pages is reached
-    kOther,    // no access, or the device fails
+    kDamaged,  // the file is not a journal, or is corrupt
+    kNewer,    // the file was written by a later version of the agent
+    kFull,     // the disk is full, or Options::max_pages is reached
+    kOther,    // for example, access denied or an I/O error
   };
   JournalError(Kind kind, const std::string& text) : std::runtime_error(text), kind_(kind) {}
   Kind kind() const { return kind_; }
@@ -31,31 +31,32 @@
   Kind kind_;
 };
 
-// Not thread-safe. When a call returns, what it keeps is on disk; if it raises JournalError,
-// nothing of it is.
+// Not thread-safe. A call's changes are on disk when it returns; if it throws JournalError, none of
+// them are.
 class Journal {
  public:
   struct Options {
     std::string path;
-    std::uint32_t max_pages = 1U << 18;  // of 4 KiB
-    std::uint64_t sequence_step = 1000;  // message numbers reserved at a time
+    std::uint32_t max_pages = 1U << 18;  // of 4 KiB each
+    std::uint64_t sequence_step = 1000;  // sequence numbers reserved per write
   };
 
-  // Opens the journal, or creates one.
+  // Opens the journal, or creates it if the file does not exist.
   explicit Journal(Options options);
   ~Journal();
   Journal(const Journal&) = delete;
   Journal& operator=(const Journal&) = delete;
 
-  // The sequence number is the last reserved one: numbers up to it may have been sent.
+  // The returned sequence number is the highest reserved one; any number up to it may have been
+  // sent.
   Worker::DurableState Load();
-  // To be called before a message of the worker goes out. Writes only when something is new:
-  // numbers are reserved many at a time.
-  void Keep(std::uint64_t agent_epoch, std::uint64_t sequence, FencingToken token);
-  // To be called before a task is reported as done.
-  void KeepDone(const TaskId& task);
-  // Forgets the results of a job whose tasks will not be started again.
-  void DropJob(const JobId& job);
+  // Must be called before the worker sends a message. Writes to disk only if a value exceeds what
+  // is stored: sequence numbers are reserved in blocks of Options::sequence_step.
+  void SaveCounters(std::uint64_t agent_epoch, std::uint64_t sequence, FencingToken token);
+  // Must be called before the task is reported as done.
+  void RecordCompletedTask(const TaskId& task);
+  // Deletes the results of a job whose tasks will not be started again.
+  void DeleteJobResults(const JobId& job);
 
  private:
   struct DatabaseCloser {
@@ -66,13 +67,13 @@
   std::uint64_t QueryNumber(const char* sql);
   void CreateSchema();
   void Verify();
-  // Raises what SQLite says went wrong in `action`.
+  // Throws JournalError with SQLite's last error; `action` names the operation that failed.
   [[noreturn]] void Fail(const char* action);
 
   Options options_;
   std::unique_ptr<sqlite3, DatabaseCloser> db_;
   std::uint64_t agent_epoch_ = 0;
-  std::uint64_t reserved_ = 0;  // message numbers
+  std::uint64_t reserved_ = 0;  // highest reserved sequence number
   FencingToken token_;
 };
 
--- a/src/agent/worker.cc
+++ b/src/agent/worker.cc
@@ -5,10 +5,10 @@
 
 namespace magpie::agent {
 namespace {
-constexpr Seconds kMinHeartbeatGap{0.5};   // between two reports
-constexpr Seconds kNextNodePause{1};       // before another node is tried
-constexpr Seconds kMaxRedirectPause{0.5};  // before the node that was named is asked
-constexpr double kHeartbeatJitter = 0.25;  // of the interval, to either side
+constexpr Seconds kMinHeartbeatGap{0.5};   // between two heartbeats
+constexpr Seconds kNextNodeDelay{1};       // before trying another controller
+constexpr Seconds kMaxRedirectDelay{0.5};  // before following a redirect
+constexpr double kHeartbeatJitter = 0.25;  // fraction of the interval, in either direction
 constexpr int kOk = 200;
 constexpr int kBadRequest = 400;
 constexpr int kConflict = 409;
@@ -18,12 +18,12 @@
     : options_(std::move(options)),
       random_(std::move(random)),
       state_(std::move(state)),
-      reporting_{.due = now, .not_before = now},
+      schedule_{.due = now, .not_before = now},
       lease_start_(now) {
-  ++state_.agent_epoch;  // what ran before a restart belongs to an earlier session
+  ++state_.agent_epoch;  // tasks started before a restart belong to an earlier agent epoch
 }
 
-// What heartbeats call a run's state.
+// The state of a run as reported in heartbeats.
 TaskState Worker::ReportedState(const TaskRun& run) {
   switch (run.state) {
     case RunState::kAwaitingDescription:
@@ -33,7 +33,7 @@
       return TaskState::kRunning;
     case RunState::kSaving:
       return TaskState::kSaving;
-    case RunState::kEnding:
+    case RunState::kTerminating:
       return run.save_requested ? TaskState::kSaving : TaskState::kRunning;
     case RunState::kEnded:
       return TaskState::kEnded;
@@ -59,29 +59,29 @@
 
 std::optional<Worker::Outgoing> Worker::NextHeartbeat(Instant now) {
   CheckLease(now);
-  if (reporting_.in_flight || now < reporting_.not_before ||
-      (now < reporting_.due && !reporting_.changed))
+  if (schedule_.in_flight || now < schedule_.not_before ||
+      (now < schedule_.due && !schedule_.changed))
     return std::nullopt;
-  reporting_.in_flight = true;
-  reporting_.changed = false;
-  reporting_.sent = now;
-  reporting_.sent_agent_epoch = state_.agent_epoch;
-  reporting_.not_before = now + kMinHeartbeatGap;
-  reporting_.due =
+  schedule_.in_flight = true;
+  schedule_.changed = false;
+  schedule_.sent = now;
+  schedule_.sent_agent_epoch = state_.agent_epoch;
+  schedule_.not_before = now + kMinHeartbeatGap;
+  schedule_.due =
       now + (1 - kHeartbeatJitter + 2 * kHeartbeatJitter * random_()) * options_.heartbeat_interval;
-  return Outgoing{options_.nodes[reporting_.node], MakeHeartbeat()};
+  return Outgoing{options_.nodes[schedule_.node], MakeHeartbeat()};
 }
 
 Instant Worker::NextWakeup() const {
   const Instant lease = lease_start_ + options_.lease;
-  if (reporting_.in_flight) return lease;
-  return std::min(lease, reporting_.changed ? reporting_.not_before
-                                            : std::max(reporting_.not_before, reporting_.due));
+  if (schedule_.in_flight) return lease;
+  return std::min(lease, schedule_.changed ? schedule_.not_before
+                                           : std::max(schedule_.not_before, schedule_.due));
 }
 
 void Worker::OnAnswer(const Answer& answer, Instant now) {
   CheckLease(now);
-  reporting_.in_flight = false;
+  schedule_.in_flight = false;
   if (answer.kind == Answer::Kind::kFailed) {
     TryNextNode(now);
     return;
@@ -90,13 +90,13 @@
     FollowRedirect(answer.destination, now);
     return;
   }
-  // An answer to an earlier session, or from a node with an outdated token, is dropped as a whole.
-  // The worker stays there while its lease runs out.
-  if (reporting_.sent_agent_epoch != state_.agent_epoch || !answer.token ||
+  // A response to a heartbeat of an earlier agent epoch, or from a controller with an outdated
+  // token, is dropped. The worker keeps using this controller, and its lease is not renewed.
+  if (schedule_.sent_agent_epoch != state_.agent_epoch || !answer.token ||
       *answer.token < state_.token)
     return;
   ObserveToken(*answer.token, now);
-  lease_start_ = reporting_.sent;
+  lease_start_ = schedule_.sent;
   Execute(answer.commands);
 }
 
@@ -105,28 +105,28 @@
   const auto found =
       destination ? std::find(nodes.begin(), nodes.end(), *destination) : nodes.end();
   const auto node = static_cast<std::size_t>(found - nodes.begin());
-  if (node == nodes.size() || node == reporting_.node) {
+  if (node == nodes.size() || node == schedule_.node) {
     TryNextNode(now);
     return;
   }
-  reporting_.node = node;
-  reporting_.due = now + random_() * kMaxRedirectPause;
-  reporting_.not_before = std::max(reporting_.not_before, reporting_.due);
+  schedule_.node = node;
+  schedule_.due = now + random_() * kMaxRedirectDelay;
+  schedule_.not_before = std::max(schedule_.not_before, schedule_.due);
 }
 
 void Worker::TryNextNode(Instant now) {
-  reporting_.node = (reporting_.node + 1) % options_.nodes.size();
-  reporting_.due = now + kNextNodePause;
-  reporting_.not_before = reporting_.due;
+  schedule_.node = (schedule_.node + 1) % options_.nodes.size();
+  schedule_.due = now + kNextNodeDelay;
+  schedule_.not_before = schedule_.due;
 }
 
 void Worker::ObserveToken(FencingToken token, Instant now) {
   if (token <= state_.token) return;
   state_.token = token;
-  // Counts as a change, but not each time: else nodes that contend for the leadership would have
-  // all workers report continuously.
-  if (reporting_.token_reported && now - *reporting_.token_reported < 0.5 * options_.lease) return;
-  reporting_.token_reported = now;
+  // A higher token triggers a heartbeat at most once per half lease: otherwise controllers that
+  // compete for the leadership would make all workers send heartbeats continuously.
+  if (schedule_.token_reported && now - *schedule_.token_reported < 0.5 * options_.lease) return;
+  schedule_.token_reported = now;
   MarkChanged();
 }
 
@@ -148,18 +148,18 @@
   if (now - lease_start_ > options_.lease) ExpireLease(now);
 }
 
-// All tasks are killed and forgotten, but their resources and ids are free only once the processes
-// are certainly dead.
+// Kills and forgets all tasks. Their resources and task ids remain in use until the processes have
+// exited.
 void Worker::ExpireLease(Instant now) {
   for (auto& [key, run] : runs_) {
     if (run.state == RunState::kRunning || run.state == RunState::kSaving)
       AddEffect(Effect::Kind::kKill, key);
     if (run.state == RunState::kRunning || run.state == RunState::kSaving ||
-        run.state == RunState::kEnding)
-      dying_.emplace(key, run);
+        run.state == RunState::kTerminating)
+      terminating_.emplace(key, run);
   }
-  const TaskRuns left = std::exchange(runs_, {});
-  for (const auto& [key, run] : left)
+  const TaskRuns expired = std::exchange(runs_, {});
+  for (const auto& [key, run] : expired)
     if (run.state == RunState::kFetching) CancelUnusedFetch(run.description.image);
   ++state_.agent_epoch;
   lease_start_ = now;
@@ -181,15 +181,15 @@
 
 void Worker::StartTask(const Command& command) {
   const AttemptKey key{command.task, command.attempt};
-  if (runs_.contains(key)) return;  // in whatever state
-  const auto same = [&](const auto& entry) {
+  if (runs_.contains(key)) return;  // a repeated command changes nothing, whatever the state
+  const auto occupies_task = [&](const auto& entry) {
     const bool refused = entry.second.reason == ExitReason::kInsufficientCapacity ||
                          entry.second.reason == ExitReason::kBusy ||
                          entry.second.reason == ExitReason::kUnknown;
     return entry.first.task == command.task && !refused;
   };
-  const bool busy = std::any_of(runs_.begin(), runs_.end(), same) ||
-                    std::any_of(dying_.begin(), dying_.end(), same);
+  const bool busy = std::any_of(runs_.begin(), runs_.end(), occupies_task) ||
+                    std::any_of(terminating_.begin(), terminating_.end(), occupies_task);
   TaskRun& run = runs_[key];
   MarkChanged();
   if (busy) {
@@ -218,18 +218,18 @@
 
 bool Worker::HasCapacityFor(const Resources& per_task) const {
   Resources available = options_.capacity;
-  for (const auto* runs : {&runs_, &dying_})
+  for (const auto* runs : {&runs_, &terminating_})
     for (const auto& [key, run] : *runs)
       if (run.state != RunState::kEnded) available -= run.description.per_task;
   return per_task.Fits(available);
 }
 
-// One fetch serves all tasks that wait for the image.
+// All tasks that wait for the same image share one fetch.
 void Worker::RequestImage(const JobDescription& description) {
-  const auto [it, fresh] = images_.try_emplace(description.image);
+  const auto [it, inserted] = images_.try_emplace(description.image);
   it->second.last_use = ++image_uses_;
-  if (!fresh) return;
-  if (description.image.empty()) {  // it needs none
+  if (!inserted) return;
+  if (description.image.empty()) {  // the job needs no image
     it->second.cached = true;
     return;
   }
@@ -239,16 +239,16 @@
 }
 
 bool Worker::IsImageInUse(const std::string& image) const {
-  const auto uses = [&](const auto& entry) {
+  const auto uses_image = [&](const auto& entry) {
     return entry.second.description.image == image && entry.second.state != RunState::kEnded &&
            entry.second.state != RunState::kAwaitingDescription;
   };
-  return std::any_of(runs_.begin(), runs_.end(), uses) ||
-         std::any_of(dying_.begin(), dying_.end(), uses);
+  return std::any_of(runs_.begin(), runs_.end(), uses_image) ||
+         std::any_of(terminating_.begin(), terminating_.end(), uses_image);
 }
 
-// Evicts the least recently used images that no task uses. If all are in use the cache exceeds its
-// size: tasks that fit the machine are not refused for it.
+// Evicts the least recently used images that no task uses. If all images are in use, the cache
+// exceeds its size: a task that fits the machine is not rejected because the cache is full.
 void Worker::EvictImages() {
   double total_gb = 0;
   for (const auto& [name, image] : images_) total_gb += image.gb;
@@ -289,7 +289,7 @@
 }
 
 void Worker::StartProcess(const AttemptKey& key, TaskRun& run) {
-  if (state_.done.contains(key.task)) {  // its result is kept
+  if (state_.done.contains(key.task)) {  // already completed
     EndTask(run, ExitReason::kDone);
     return;
   }
@@ -319,15 +319,15 @@
         MarkChanged();
         break;
       }
-      run.state = RunState::kEnding;
+      run.state = RunState::kTerminating;
       AddEffect(Effect::Kind::kKill, it->first);
       break;
     case RunState::kSaving:
       if (command.termination_grace_period.value > 0) break;
-      run.state = RunState::kEnding;
+      run.state = RunState::kTerminating;
       AddEffect(Effect::Kind::kKill, it->first);
       break;
-    case RunState::kEnding:
+    case RunState::kTerminating:
     case RunState::kEnded:
       break;
   }
@@ -341,20 +341,21 @@
   MarkChanged();
 }
 
-// Called only when the process is certainly dead: only then may its task run elsewhere.
+// Must be called only once the process has exited, because the task may then start on another
+// machine.
 void Worker::OnExit(const TaskId& task, Attempt attempt, Outcome outcome) {
   if (outcome == Outcome::kDone) state_.done.insert(task);
   const AttemptKey key{task, attempt};
-  if (dying_.erase(key) > 0) return;
+  if (terminating_.erase(key) > 0) return;
   const auto it = runs_.find(key);
   if (it == runs_.end()) return;
   TaskRun& run = it->second;
   if (run.state != RunState::kRunning && run.state != RunState::kSaving &&
-      run.state != RunState::kEnding)
+      run.state != RunState::kTerminating)
     return;
   const bool stop_commanded = run.state != RunState::kRunning;
   switch (outcome) {
-    case Outcome::kDone:  // even after a stop command: the result is there
+    case Outcome::kDone:  // the result exists, even after a stop command
       EndTask(run, ExitReason::kDone);
       break;
     case Outcome::kSaved:
@@ -378,7 +379,7 @@
   effects_.push_back({kind, key.task, key.attempt, {}});
 }
 
-// Filled in place: g++ 12 warns that a braced temporary may be uninitialized.
+// Filled in place because g++ 12 warns that a braced temporary may be uninitialized.
 void Worker::AddImageEffect(Effect::Kind kind, const std::string& image) {
   Effect& effect = effects_.emplace_back();
   effect.kind = kind;
--- a/src/agent/worker.h
+++ b/src/agent/worker.h
@@ -1,6 +1,6 @@
 // The worker's side of the protocol as a state machine (PROTOCOL, "Workers -> controller nodes"
-// and "Controller nodes -> workers"). It does no input or output: it asks for effects and is told
-// how they ended.
+// and "Controller nodes -> workers"). It does no I/O: it returns effects for the agent to carry
+// out, and the agent reports their results through the On... functions.
 #pragma once
 
 #include <cstdint>
@@ -20,54 +20,54 @@
 
 namespace magpie::agent {
 
-// What a worker must know of a job to run its tasks.
+// The part of a job's specification that a worker needs to run its tasks.
 struct JobDescription {
   Resources per_task;
   std::string image;
   double image_gb = 0;
-  Seconds checkpoint;  // 0: none
-  Seconds save;        // what saving takes
+  Seconds checkpoint;  // 0: the tasks write no checkpoints
+  Seconds save;        // time to save a task's progress
 };
 
 // How a task's process ended.
 enum class Outcome : std::uint8_t { kDone, kSaved, kKilled, kFailed };
 
-// Something for the agent to do. Effects on the same task must be carried out in order.
+// An action that the agent carries out. Effects on the same task must be carried out in order.
 struct Effect {
   enum class Kind : std::uint8_t {
-    kReadDescription,  // read the job's description; OnDescription
-    kFetch,            // fetch the image; OnImage
-    kCancelFetch,      // stop fetching the image: no task waits for it
-    kEvictImage,       // the cache has no room for it
-    kStart,            // start the process; OnExit when it is certainly dead
-    kSave,             // have it save and exit; OnExit
-    kKill,             // end it at once; OnExit
-    kDiscardTaskData,  // what is kept of an exited task may go, but for its result
+    kReadDescription,  // read the job's description, then call OnDescription
+    kFetch,            // fetch the image, then call OnImage
+    kCancelFetch,      // cancel the image fetch; no task waits for it
+    kEvictImage,       // delete the image from the cache
+    kStart,            // start the process; call OnExit once the process has exited
+    kSave,             // make the process save its progress and exit, then call OnExit
+    kKill,             // kill the process, then call OnExit
+    kDiscardTaskData,  // delete the data of an exited task, except its result
   } kind = Kind::kReadDescription;
   TaskId task;
   Attempt attempt;
   std::string image;
 };
 
-// How a heartbeat was answered.
+// The result of sending a heartbeat.
 struct Answer {
   enum class Kind : std::uint8_t {
     kOk,
     kRedirected,  // 421
-    kFailed,      // any other status, nothing within kAnswerTimeout, no connection
+    kFailed,      // any other status, no response within kAnswerTimeout, or no connection
   } kind = Kind::kFailed;
   std::optional<FencingToken> token;
-  std::optional<std::string> destination;  // the node that a 421 named
+  std::optional<std::string> destination;  // the controller named in the 421 response
   std::vector<Command> commands;
 };
 
-// The answer to a direct command: 200, 409 or 400, and the worker's heartbeat.
+// The response to a direct command: status 200, 400 or 409, and the worker's heartbeat.
 struct DirectCommandReply {
   int status = 200;
   Heartbeat heartbeat;
 };
 
-// Not thread-safe. Times are those of a clock that also runs while the machine is suspended.
+// Not thread-safe. `now` must come from a clock that also runs while the machine is suspended.
 class Worker {
  public:
   struct Options {
@@ -76,22 +76,22 @@
     std::string type;
     std::string zone;
     bool spot = false;
-    Resources capacity;   // what the machine has
-    double cache_gb = 0;  // for images
+    Resources capacity;
+    double cache_gb = 0;  // size of the image cache
     Seconds heartbeat_interval{3};
     Seconds lease{30};
-    std::vector<std::string> nodes;  // names of the controllers; at least one
+    std::vector<std::string> nodes;  // names of the controllers; not empty
   };
-  // What must survive a restart, as the agent's journal keeps it. The numbers never decrease.
+  // State that the agent's journal keeps across restarts. The numbers never decrease.
   struct DurableState {
     std::uint64_t agent_epoch = 0;
     std::uint64_t sequence = 0;
     FencingToken token;
     std::set<TaskId> done;  // tasks whose results are kept
   };
-  static constexpr Seconds kAnswerTimeout{4};  // of a heartbeat
+  static constexpr Seconds kAnswerTimeout{4};  // for the response to a heartbeat
 
-  // `random` returns numbers from 0 to 1, for the jitter.
+  // `random` returns numbers from 0 to 1, used for jitter.
   Worker(Options options, DurableState state, std::function<double()> random, Instant now);
 
   // --- heartbeats
@@ -99,10 +99,10 @@
     std::string node;
     Heartbeat heartbeat;
   };
-  // The heartbeat that is due; nullopt: none is, or one is in flight.
+  // The heartbeat to send now; nullopt: it is not yet time for one, or one is in flight.
   std::optional<Outgoing> NextHeartbeat(Instant now);
   void OnAnswer(const Answer& answer, Instant now);
-  // When NextHeartbeat or CheckLease should be called next, at the latest.
+  // The latest time for the next call of NextHeartbeat or CheckLease.
   Instant NextWakeup() const;
 
   // --- direct commands
@@ -112,15 +112,15 @@
   Heartbeat Inspect();
 
   // --- the machine
-  // Kills all tasks and starts a new session if the lease has expired.
+  // Kills all tasks and starts a new agent epoch if the lease has expired.
   void CheckLease(Instant now);
-  // `remaining`: until the cloud takes the machine back; nullopt: there is no notice.
+  // `remaining`: time until the cloud preempts the machine; nullopt: there is no preemption notice.
   void OnPreemptionNotice(std::optional<Seconds> remaining);
-  // `description` is nullopt if there is no such job.
+  // `description` is nullopt if the job does not exist.
   void OnDescription(const JobId& job, const std::optional<JobDescription>& description);
   void OnImage(const std::string& image, bool fetched);
   void OnExit(const TaskId& task, Attempt attempt, Outcome outcome);
-  // The effects asked for since the last call.
+  // Returns the effects added since the last call.
   std::vector<Effect> TakeEffects() { return std::exchange(effects_, {}); }
 
   std::uint64_t agent_epoch() const { return state_.agent_epoch; }
@@ -132,13 +132,13 @@
     kFetching,
     kRunning,
     kSaving,
-    kEnding,  // killed, but not yet known to be dead
+    kTerminating,  // killed, exit not yet confirmed
     kEnded,
   };
-  // An attempt of a task on this machine.
+  // One attempt of a task on this machine.
   struct TaskRun {
     RunState state = RunState::kAwaitingDescription;
-    bool save_requested = false;  // before it was killed
+    bool save_requested = false;  // a stop command requested a save
     ExitReason reason = ExitReason::kNone;
     bool saved = false;
     JobDescription description;
@@ -152,18 +152,18 @@
   struct Image {
     bool cached = false;
     double gb = 0;
-    std::uint64_t last_use = 0;  // value of image_uses_ when it was last requested
+    std::uint64_t last_use = 0;  // image_uses_ at the last request for the image
   };
-  // When the next heartbeat goes out and where to, and what the last one was.
-  struct Reporting {
+  // Time and destination of the next heartbeat, and state of the last one.
+  struct HeartbeatSchedule {
     std::size_t node = 0;  // index into Options::nodes
     bool changed = true;
     bool in_flight = false;
     std::uint64_t sent_agent_epoch = 0;
     Instant sent{};
-    Instant due{};                            // of the next heartbeat if nothing changes
-    Instant not_before{};                     // even if something does
-    std::optional<Instant> token_reported{};  // when a higher token last counted as a change
+    Instant due{};         // time of the next heartbeat if nothing changes
+    Instant not_before{};  // earliest time of the next heartbeat, even after a change
+    std::optional<Instant> token_reported{};  // when a higher token last triggered a heartbeat
   };
 
   static TaskState ReportedState(const TaskRun& run);
@@ -184,7 +184,7 @@
   void EvictImages();
   bool IsImageInUse(const std::string& image) const;
   bool HasCapacityFor(const Resources& per_task) const;
-  void MarkChanged() { reporting_.changed = true; }
+  void MarkChanged() { schedule_.changed = true; }
   void ExpireLease(Instant now);
 
   Options options_;
@@ -192,11 +192,11 @@
   DurableState state_;
   std::optional<Seconds> preemption_notice_;
   TaskRuns runs_;
-  TaskRuns dying_;  // of earlier sessions, until they are certainly dead
+  TaskRuns terminating_;  // runs of earlier agent epochs whose processes may still be alive
   std::map<std::string, Image> images_;
   std::uint64_t image_uses_ = 0;
   std::vector<Effect> effects_;
-  Reporting reporting_;
+  HeartbeatSchedule schedule_;
   Instant lease_start_;
 };
 
--- a/src/clock/clock.h
+++ b/src/clock/clock.h
@@ -1,4 +1,4 @@
-// The process's clocks. The scheduling packages read none: they are given the time.
+// The process's clocks. The scheduling packages read no clock; callers pass them the time.
 #pragma once
 
 #include <chrono>
@@ -7,13 +7,13 @@
 
 namespace magpie {
 
-// Never goes back; comparable within this process only.
+// Monotonic; comparable only within this process.
 inline Instant SteadyNow() {
   return {
       std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count()};
 }
 
-// The time of day, which may be adjusted.
+// The time of day, which may be adjusted while the process runs.
 inline WallTime WallNow() {
   return {
       std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count()};
--- a/src/cloud/cloud_client.cc
+++ b/src/cloud/cloud_client.cc
@@ -17,7 +17,7 @@
   if (!answer.answered) return CloudStatus::kUnknown;
   if (answer.status == 503 && answer.body.find("no capacity") != std::string::npos)
     return CloudStatus::kNoCapacity;
-  if (answer.status == 400) return CloudStatus::kNoCapacity;  // repeating it is no use
+  if (answer.status == 400) return CloudStatus::kNoCapacity;  // malformed: a retry would fail too
   if (answer.status == 429 || answer.status == 503) return CloudStatus::kRefused;
   return CloudStatus::kUnknown;
 }
@@ -33,7 +33,7 @@
   try {
     return protocol::TypesFromJson(protocol::ParseObject(answer.body));
   } catch (const protocol::InvalidMessage& error) {
-    spdlog::error("cloud: machine types: {}", error.what());
+    spdlog::error("machine type list from cloud rejected error={}", error.what());
     return std::nullopt;
   }
 }
@@ -47,7 +47,7 @@
   try {
     return {CloudStatus::kOk, protocol::MachineIdsFromJson(protocol::ParseObject(answer.body))};
   } catch (const protocol::InvalidMessage& error) {
-    spdlog::error("cloud: rental: {}", error.what());
+    spdlog::error("provision response from cloud rejected error={}", error.what());
     return {CloudStatus::kUnknown, {}};
   }
 }
@@ -73,7 +73,7 @@
       if (!page.more || page.machines.empty()) return machines;
       after = page.machines.back().id;
     } catch (const protocol::InvalidMessage& error) {
-      spdlog::error("cloud: machine list: {}", error.what());
+      spdlog::error("machine list page from cloud rejected error={}", error.what());
       return std::nullopt;
     }
   }
--- a/src/cloud/cloud_client.h
+++ b/src/cloud/cloud_client.h
@@ -12,32 +12,32 @@
 
 namespace magpie {
 
-// How a call that changes something ended.
+// Result of a call that provisions or releases machines.
 enum class CloudStatus {
   kOk,
-  kNoCapacity,  // none available for this type, zone and kind, or the request is malformed
+  kNoCapacity,  // none for this machine kind, or the request is malformed
   kRefused,     // not carried out: rate limit, outage or no connection
-  kUnknown,     // it may have been carried out, or may still be
+  kUnknown,     // it may have been carried out, or may be carried out later
 };
 
-// `machines` is set with kOk alone; there may be fewer than were requested.
+// `machines` is set only with kOk; it may hold fewer machines than requested.
 struct ProvisionResult {
   CloudStatus status = CloudStatus::kUnknown;
   std::vector<MachineId> machines;
 };
 
-// Calls block until they are answered or out of time. Thread-safe.
+// Calls block until the response arrives or the timeout expires. Thread-safe.
 class CloudClient {
  public:
-  // `timeout` is for each answer.
+  // `timeout` applies to each response.
   CloudClient(const Address& address, Seconds timeout);
 
-  // nullopt: no valid answer.
+  // nullopt: no valid response.
   std::optional<std::vector<MachineType>> Types();
-  // A request of the same name is carried out once, however often it is repeated.
+  // Idempotent: the cloud carries out requests with the same name once.
   ProvisionResult Provision(const ScaleOutRequest& request);
   CloudStatus Release(const std::vector<MachineId>& machines);
-  // The machines of all pages; nullopt: a page had no valid answer.
+  // The machines of all pages; nullopt: no valid response for one of the pages.
   std::optional<std::vector<ListedMachine>> List();
 
  private:
--- a/src/metrics/service_metrics.h
+++ b/src/metrics/service_metrics.h
@@ -1,7 +1,7 @@
-// How each class of jobs and each team is served, as the leader sees it since the takeover.
+// The leader's counts of jobs and tasks by job class and team since it took over.
 //
-// Invariant: a job counts once in each column of jobs, whatever happens to its tasks. Pure: it does
-// no I/O. Not thread-safe.
+// Invariant: a job counts at most once in each column that counts jobs, whatever happens to its
+// tasks. Does no I/O. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -13,18 +13,18 @@
 
 namespace magpie {
 
-// Counts by class of jobs and by team.
+// Counts by job class and by team.
 class ServiceMetrics {
  public:
   struct Row {
-    std::uint64_t accepted = 0;   // jobs, those of earlier leaders included
-    std::uint64_t started = 0;    // jobs with a task that was seen running
+    std::uint64_t accepted = 0;   // jobs, including those accepted by earlier leaders
+    std::uint64_t started = 0;    // jobs with a task that was reported as running
     std::uint64_t done = 0;       // jobs
     std::uint64_t cancelled = 0;  // jobs
-    std::uint64_t stopped = 0;    // tasks told to stop although their jobs go on
-    std::uint64_t waiting = 0;    // jobs that are not over, of which nothing runs
-    std::uint64_t open = 0;       // jobs that are not over
-    Seconds oldest_wait;          // of open jobs with a pending task
+    std::uint64_t stopped = 0;    // tasks stopped while their jobs remain open
+    std::uint64_t waiting = 0;    // open jobs without a running task
+    std::uint64_t open = 0;       // jobs that have not ended
+    Seconds oldest_wait;          // longest current wait of open jobs with a pending task
   };
   struct Table {
     std::map<std::string, Row> classes;
--- a/src/model/cloud_call.h
+++ b/src/model/cloud_call.h
@@ -9,7 +9,7 @@
 
 namespace magpie {
 
-// What the cloud counts its capacity by.
+// The cloud's capacity is counted separately for each combination of these.
 struct MachineKind {
   std::string type;
   std::string zone;
@@ -17,7 +17,7 @@
   auto operator<=>(const MachineKind&) const = default;
 };
 
-// Machines to be provided. A request repeated under the same name brings the same machines.
+// A request to provision machines. Repeating it with the same name returns the same machines.
 struct ScaleOutRequest {
   std::string name;
   MachineKind kind;
@@ -27,8 +27,8 @@
 // One call to the cloud.
 struct CloudCall {
   enum class Kind { kList, kProvision, kRelease } kind = Kind::kList;
-  ScaleOutRequest scale_out;       // of kProvision
-  std::vector<MachineId> release;  // of kRelease
+  ScaleOutRequest scale_out;       // used by kProvision
+  std::vector<MachineId> release;  // used by kRelease
 };
 
 }  // namespace magpie
--- a/src/model/direct_command.h
+++ b/src/model/direct_command.h
@@ -1,5 +1,5 @@
-// Messages between the leader and workers: the response to a heartbeat, and
-// commands that the leader sends on its own connection to a worker.
+// Messages from the leader to workers: the response to a heartbeat, and direct commands, which the
+// leader sends over its own connection to the worker.
 #pragma once
 
 #include <cstdint>
@@ -12,32 +12,32 @@
 
 namespace magpie {
 
-// The leader's answer to a heartbeat.
+// The leader's response to a heartbeat.
 struct HeartbeatResponse {
   bool accepted = true;             // false: the worker has seen a later leader's token
-  bool redirect_to_leader = false;  // it was relayed, but the worker is reachable again
+  bool redirect_to_leader = false;  // relayed, but the worker can reach the leader again
   FencingToken token;
   std::vector<Command> commands;
 };
 
-// Commands sent on the leader's own connection. Without commands it is a probe.
+// Commands sent over the leader's own connection. A direct command without commands is a probe.
 struct DirectCommand {
   MachineId machine;
   std::string addr;
   std::uint64_t agent_epoch = 0;
   FencingToken token;
   std::vector<Command> commands;
-  // What the worker had reported by the time that this was sent.
+  // The latest values reported by the worker when this was sent.
   std::uint64_t known_agent_epoch = 0;
   std::uint64_t known_sequence = 0;
   FencingToken known_token;
 };
 
-// How a direct command ended.
+// The result of sending a direct command.
 enum class DeliveryStatus {
-  kAnswered,  // executed or refused: the worker's answer came back
-  kNotSent,   // no connection was made, so it cannot arrive later either
-  kUnknown,   // it may be executed at any time
+  kAnswered,  // the worker responded: executed or rejected
+  kNotSent,   // no connection was established, so the command cannot arrive later
+  kUnknown,   // the worker may have executed the command, or may execute it later
 };
 
 }  // namespace magpie
--- a/src/model/fencing_token.h
+++ b/src/model/fencing_token.h
@@ -1,4 +1,4 @@
-// Revisions of the state service and the fencing tokens derived from them.
+// Revisions of the key-value store and the fencing tokens derived from them.
 #pragma once
 
 #include <compare>
@@ -6,21 +6,21 @@
 
 namespace magpie {
 
-// Version of a key, or revision of the whole state service.
+// Revision of a key, or of the whole key-value store.
 struct Revision {
   std::uint64_t value = 0;
   auto operator<=>(const Revision&) const = default;
 };
 
-// The right to command workers: a worker ignores whoever presents a lower token than the
-// highest that it has seen (PROTOCOL, "Tokens").
+// Authorizes a controller to command workers: a worker ignores any controller whose token is lower
+// than the highest one that the worker has seen (PROTOCOL, "Tokens").
 struct FencingToken {
   std::uint64_t value = 0;
   auto operator<=>(const FencingToken&) const = default;
 };
 
-// A token's high bits are the leader's epoch, the revision at which it was elected. The leader
-// may raise the low bits for a single machine, to fence off its own earlier commands.
+// The high bits of a token hold the leader's epoch, which is the revision of its election. The
+// leader may raise the low bits for a single machine, to fence off its own earlier commands.
 constexpr std::uint64_t kTokenLowBits = 16;
 inline FencingToken FirstFencingToken(Revision epoch) { return {epoch.value << kTokenLowBits}; }
 inline Revision EpochOf(FencingToken token) { return {token.value >> kTokenLowBits}; }
--- a/src/model/id_hash.h
+++ b/src/model/id_hash.h
@@ -1,4 +1,4 @@
-// Hashes of ids, for unordered containers.
+// Hash functions of ids, for unordered containers.
 #pragma once
 
 #define XXH_INLINE_ALL
@@ -10,7 +10,7 @@
 
 namespace magpie {
 
-// Hashes machine ids; not stable over versions of the library.
+// Hashes machine ids. The values may differ between versions of xxHash.
 struct IdHash {
   std::size_t operator()(const MachineId& id) const {
     return XXH3_64bits(id.value.data(), id.value.size());
--- a/src/model/ids.h
+++ b/src/model/ids.h
@@ -1,4 +1,4 @@
-// Names of jobs, tasks, attempts and machines as distinct types.
+// Identifiers of jobs, tasks, attempts and machines as distinct types.
 #pragma once
 
 #include <compare>
@@ -7,13 +7,13 @@
 
 namespace magpie {
 
-// Chosen by the users; see IsJobId.
+// Chosen by the user; see IsJobId for the format.
 struct JobId {
   std::string value;
   auto operator<=>(const JobId&) const = default;
 };
 
-// Chosen by the cloud; ids are ordered by creation.
+// Chosen by the cloud; ids increase in the order of creation.
 struct MachineId {
   std::string value;
   auto operator<=>(const MachineId&) const = default;
@@ -26,13 +26,13 @@
   auto operator<=>(const TaskId&) const = default;
 };
 
-// Number of a task's attempt; 0: the task has never been bound to a machine.
+// Number of an attempt of a task; 0: the task has never been bound to a machine.
 struct Attempt {
   std::uint64_t value = 0;
   auto operator<=>(const Attempt&) const = default;
 };
 
-// Whether `text` has the form of a job id as users choose them: "j-", then digits.
+// Whether `text` is a valid job id: "j-" followed by digits, at most 40 characters.
 bool IsJobId(const std::string& text);
 
 }  // namespace magpie
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -11,29 +11,29 @@
 
 namespace magpie {
 
-// A type of machines that the cloud rents.
+// A machine type that the cloud offers.
 struct MachineType {
   std::string name;
   Resources capacity;
-  double cache_gb = 0;  // for images
+  double cache_gb = 0;  // size of the image cache
   double fetch_gb_per_s = 0;
   double price = 0;       // per hour
-  double spot_price = 0;  // per hour, at present
-  Seconds boot_time;      // nominal time from the request until the worker reports
+  double spot_price = 0;  // current price per hour
+  Seconds boot_time;      // nominal time from the request to the worker's first heartbeat
   std::vector<std::string> zones;
 };
 
-// An entry of the cloud's machine list, which lags behind what the cloud has done.
+// An entry of the cloud's machine list, which lags behind the cloud's actual state.
 struct ListedMachine {
   enum class State { kStarting, kRunning, kFailed };
 
   MachineId id;
-  std::string addr;  // of its worker; empty: not known yet
+  std::string addr;  // address of the worker; empty: not known yet
   std::string type;
   std::string zone;
   bool spot = false;
   State state = State::kStarting;
-  Seconds age;  // since it was requested, as of the moment the list describes
+  Seconds age;  // time since the request, as of the snapshot that the list shows
 };
 
 }  // namespace magpie
--- a/src/model/objective.h
+++ b/src/model/objective.h
@@ -1,4 +1,4 @@
-// Service level objectives of classes of jobs.
+// Service level objectives of job classes.
 #pragma once
 
 #include <string>
@@ -7,13 +7,13 @@
 
 namespace magpie {
 
-// What is expected for a class of jobs: the share of them, from 0 to 1, that must meet a limit.
+// Requires that a share of the jobs of a class, from 0 to 1, meets a time limit.
 struct Objective {
   std::string kind;
   std::string job_class;
   Seconds limit;
   double share = 0;
-  double deadline_factor = 1;  // the limit as a multiple of the deadline
+  double deadline_factor = 1;  // time limit as a multiple of the job's deadline
 };
 
 }  // namespace magpie
--- a/src/model/resources.h
+++ b/src/model/resources.h
@@ -1,17 +1,17 @@
-// Amounts of what tasks take of machines.
+// Amounts of the resources of machines that tasks use.
 #pragma once
 
 namespace magpie {
 
-// CPUs, GPUs and memory: what a task needs, or what a machine has or has free.
+// CPUs, GPUs and memory: the demand of a task, or the capacity or free capacity of a machine.
 struct Resources {
   double cpus = 0;
   double gpus = 0;
   double memory_gb = 0;
 
-  // Whether this much can be taken of `available`.
+  // Whether these resources fit into `available`.
   bool Fits(const Resources& available) const {
-    constexpr double kRoundingTolerance = 1e-6;  // sums of decimals are a little off
+    constexpr double kRoundingTolerance = 1e-6;  // sums of decimals have rounding errors
     return cpus <= available.cpus + kRoundingTolerance &&
            gpus <= available.gpus + kRoundingTolerance &&
            memory_gb <= available.memory_gb + kRoundingTolerance;
--- a/src/model/safety_checks.h
+++ b/src/model/safety_checks.h
@@ -1,8 +1,9 @@
-// The checks of the safety argument (docs/design.md, "Why it is safe"), by name, so that the fault
-// sweep (tests/fault_sweep_test.cc) can show that it finds a broken rule without each of them.
+// The checks that the safety argument relies on (docs/design.md, "Why it is safe"). The fault sweep
+// (tests/fault_sweep_test.cc) disables them one at a time and verifies that it then finds a
+// violated rule.
 //
-// The service is compiled without MAGPIE_SAFETY_CHECK_SWITCHES: IsDisabled() is then the constant
-// false and the compiler drops every use. Only the fault sweep defines it.
+// Only the fault sweep defines MAGPIE_SAFETY_CHECK_SWITCHES. In the service IsDisabled() is the
+// constant false, and the compiler removes every use.
 #pragma once
 
 #include <bitset>
@@ -11,57 +12,58 @@
 
 namespace magpie {
 
-// One check each.
 enum class SafetyCheck : std::uint8_t {
   kNone,
   // --- conditions of the leader's transactions
   kLeaderKeyCondition,
   kEpochCondition,
-  kJobCondition,   // a binding is not written past a cancellation
-  kPageCondition,  // a page is replaced only as it was last seen
+  kJobCondition,   // a binding is not written for a job that was cancelled meanwhile
+  kPageCondition,  // a page is replaced only at the revision that the leader last read or wrote
   kFinalCondition,
-  // --- acceptance and ends
-  kSubmitCondition,      // a job is accepted once, and not after it is over
-  kFinalAfterUnbound,    // cancelled jobs are final only when no task is bound
-  kQuotaUntilDurable,    // the quota of a task that ended is held until that is durable
-  kResultOnlyIfUnbound,  // a result of another attempt counts only while none is on a machine
+  // --- submissions and results
+  kSubmitCondition,      // a job id is accepted once, and not again after the job is final
+  kFinalAfterUnbound,    // a cancelled job is final only when none of its tasks is bound
+  kQuotaUntilDurable,    // an ended task counts against the quota until its end is durable
+  kResultOnlyIfUnbound,  // a result of an earlier attempt counts only while the task is unbound
   // --- cancellations
-  kStoppingBeforeAcknowledged,  // `stopping` is durable before controllers are told
-  kAllControllersAcknowledged,  // before the user is
-  kCancelCondition,             // a cancellation can't pass the end of its job
-  kCancellationStored,          // a controller keeps what it was told of
-  kResponseFilter,              // no run of a cancelled job in a reply
-  kCommandFilter,               // nor in a direct command
-  kStopInResponse,              // each reply stops the listed tasks of cancelled jobs
-  kJobsReadBeforeRenewal,       // leases are renewed only by controllers that have read the jobs
-  kJobsReadBeforeStart,         // the same for starts
-  // --- answers to users
-  kReadAfterRequest,  // a question is answered from a read begun after it
-  kLiveBeforeFinal,   // a job is looked up in j/ first, then in f/
+  kStoppingBeforeAcknowledged,  // `stopping` is durable before peers are notified
+  kAllControllersAcknowledged,  // all peers acknowledge before the user gets the answer
+  kCancelCondition,             // a cancellation is not written once the job has become final
+  kCancellationStored,          // announced cancellations that were not read yet are stored
+  kResponseFilter,              // heartbeat responses start no task of a cancelled job
+  kCommandFilter,               // direct commands start no task of a cancelled job
+  kStopInResponse,              // heartbeat responses stop the reported tasks of cancelled jobs
+  kJobsReadBeforeRenewal,       // a controller renews leases only after it has read the jobs
+  kJobsReadBeforeStart,         // the leader starts tasks only after it has read the jobs
+  // --- responses to users
+  kReadAfterRequest,  // a request is answered from a read that began after the request arrived
+  kLiveBeforeFinal,   // a job is looked up under j/ first, then under f/
   // --- starts
-  kStartOnlyDurable,
-  kNoStartWhileStopping,
-  kQuotaBeforeStart,  // what is held keeps limits and zone rules
-  kRewrittenUnbound,  // a binding carried along with other records is written as unbound
-  kReadLatestRecord,  // of several records of a task the latest counts
-  // --- what a worker's absence of a task proves
-  kCommandInFlight,
-  kResponseInFlight,
-  kFencingTokenSeen,
-  kRaiseAfterNoAnswer,   // the token is raised after a command without an answer
-  kForgetOnlyIfProven,   // an attempt is forgotten only if no command can start it again
-  kHeartbeatOrder,       // older reports are not taken in
-  kLaterAgentEpoch,      // a later session proves nothing before our token was seen
-  kEndBeforeThisEpoch,   // nor does an end
-  kAgentRestarted,       // a worker that lost its numbers is recognized
-  kFenceAgentRestarted,  // and gets a token above all earlier ones
+  kStartOnlyDurable,      // a task is started only once its binding is durable
+  kNoStartWhileStopping,  // no start while the job is cancelled or the task is to be stopped
+  kQuotaBeforeStart,      // a task starts only while all bound tasks obey limits and zone rules
+  kRewrittenUnbound,      // a pending binding in a page rewritten for other records stays unbound
+  kReadLatestRecord,      // the latest of several records of a task counts
+  // --- when a task that a message does not list is known to be absent
+  kCommandInFlight,     // nothing is concluded while a direct command is in flight
+  kResponseInFlight,    // nothing from a direct command's answer while a heartbeat response is in
+                        // flight
+  kFencingTokenSeen,    // nothing until the worker has seen the fencing token
+  kRaiseAfterNoAnswer,  // the token is raised after a direct command without an answer
+  kForgetOnlyIfProven,  // an attempt is forgotten only if no command can start it again
+  kHeartbeatOrder,      // a message older than the latest one is ignored
+  kLaterAgentEpoch,     // a later agent epoch proves nothing until this leader's token was seen
+  kEndBeforeThisEpoch,  // the same for the reported end of a task
+  kAgentRestarted,      // a restarted worker that lost its sequence numbers and token is recognized
+  kFenceAgentRestarted,  // such a worker gets a token higher than all earlier ones
   // --- leadership
-  kLaterEpochHeartbeat,  // a worker that has seen a later epoch is not commanded
-  kLaterEpochCommand,
-  kFollowerRaisesToken,    // a follower that keeps a lease raises the worker's token
-  kCommittedByThisLeader,  // a write found in place is ours only if we still lead
-  kEpochMatchesKey,        // the epoch was won with the key that stands
-  kNonceMatchesProcess,    // the key is of this run of the process
+  kLaterEpochHeartbeat,    // no commands in response to a heartbeat with a later epoch's token
+  kLaterEpochCommand,      // the same for the answer to a direct command
+  kFollowerRaisesToken,    // a follower that renews a worker's lease raises the worker's token
+  kCommittedByThisLeader,  // a write that is found in the store counts only if this controller
+                           // still leads
+  kEpochMatchesKey,        // the epoch was won with the current leader key
+  kNonceMatchesProcess,    // the leader key was written by this run of the process
   kCount,
 };
 
--- a/src/model/time.h
+++ b/src/model/time.h
@@ -1,29 +1,29 @@
-// Lengths and points of time as distinct types, so that they can't be mixed up.
+// Durations and points in time as distinct types, so that they cannot be mixed up.
 #pragma once
 
 #include <compare>
 
 namespace magpie {
 
-// A length of time, in seconds.
+// A duration in seconds.
 struct Seconds {
   double value = 0;
   auto operator<=>(const Seconds&) const = default;
 };
 inline Seconds operator+(Seconds left, Seconds right) { return {left.value + right.value}; }
 inline Seconds operator-(Seconds left, Seconds right) { return {left.value - right.value}; }
-inline Seconds operator*(double factor, Seconds length) { return {factor * length.value}; }
+inline Seconds operator*(double factor, Seconds duration) { return {factor * duration.value}; }
 
 // A reading of this machine's steady clock, in seconds.
 struct Instant {
   double value = 0;
   auto operator<=>(const Instant&) const = default;
 };
-inline Instant operator+(Instant start, Seconds length) { return {start.value + length.value}; }
-inline Instant operator-(Instant end, Seconds length) { return {end.value - length.value}; }
+inline Instant operator+(Instant start, Seconds duration) { return {start.value + duration.value}; }
+inline Instant operator-(Instant end, Seconds duration) { return {end.value - duration.value}; }
 inline Seconds operator-(Instant end, Instant start) { return {end.value - start.value}; }
 
-// The time of day in seconds since the Unix epoch: the same on all controllers but for their
+// The time of day in seconds since the Unix epoch. It differs between controllers only by their
 // clock skew.
 struct WallTime {
   double value = 0;
--- a/src/model/worker_messages.h
+++ b/src/model/worker_messages.h
@@ -1,5 +1,4 @@
-// What workers report and what they are commanded to do (PROTOCOL, "Workers -> controller
-// nodes").
+// Heartbeats of workers and commands to workers (PROTOCOL, "Workers -> controller nodes").
 #pragma once
 
 #include <cstdint>
@@ -13,44 +12,44 @@
 
 namespace magpie {
 
-// Where a task is between its start command and its end.
+// The state of a task from its start command to its end.
 enum class TaskState { kFetching, kRunning, kSaving, kEnded };
 
 // Why a task is in TaskState::kEnded.
 enum class ExitReason {
-  kNone,                  // it has not ended
+  kNone,                  // the task has not ended
   kDone,                  // completed
   kStopped,               // stopped by command
   kError,                 // failed
-  kInsufficientCapacity,  // start refused: not enough free resources on the machine
-  kBusy,                  // start refused: another attempt of the task is on this machine
-  kUnknown,               // start refused: no such job or task
+  kInsufficientCapacity,  // start rejected: the free capacity of the machine is too small
+  kBusy,                  // start rejected: another attempt of the task is on this machine
+  kUnknown,               // start rejected: no such job or task
 };
 
-// One attempt of a task as its machine's worker sees it.
+// The state of one attempt of a task as reported by the worker.
 struct TaskStatus {
   TaskId task;
   Attempt attempt;
   TaskState state = TaskState::kFetching;
   ExitReason reason = ExitReason::kNone;
-  bool saved = false;  // its progress was saved when it was stopped
+  bool saved = false;  // the task saved its progress when it was stopped
 };
 
-// What a worker says of itself, in a heartbeat or in the answer to direct commands.
+// A worker's report of its state, in a heartbeat or in the response to a direct command.
 struct Heartbeat {
   MachineId machine;
   std::string addr;
   std::string type;
   std::string zone;
   bool spot = false;
-  std::uint64_t agent_epoch = 0;             // increases whenever the worker's lease expires
-  std::uint64_t sequence = 0;                // increases with each message
-  FencingToken token;                        // highest that the worker has seen
-  std::optional<Seconds> preemption_notice;  // time until the cloud takes the machine back
+  std::uint64_t agent_epoch = 0;  // increases when the worker's lease expires or the agent restarts
+  std::uint64_t sequence = 0;     // increases with each message
+  FencingToken token;             // highest token that the worker has seen
+  std::optional<Seconds> preemption_notice;  // time until the cloud preempts the machine
   std::vector<TaskStatus> tasks;
 };
 
-// Start a task, stop it, or remove an ended one from the heartbeats.
+// Start a task, stop it, or remove an ended task from the heartbeats.
 enum class CommandKind { kRun, kStop, kForget };
 
 // A command on one attempt of a task.
@@ -58,13 +57,13 @@
   CommandKind kind = CommandKind::kRun;
   TaskId task;
   Attempt attempt;
-  Seconds termination_grace_period;  // of kStop: how long the task may save
+  Seconds termination_grace_period;  // for kStop: time for the task to save its progress
 };
 
-// How a heartbeat reached the controller that handles it.
+// The path by which a heartbeat reached the controller that handles it.
 enum class HeartbeatRoute : std::uint8_t {
   kDirect,
-  kRelayed,  // passed on by another controller, since the worker could not reach the leader
+  kRelayed,  // relayed by another controller because the worker cannot reach the leader
 };
 
 }  // namespace magpie
--- a/src/model/write_batch.h
+++ b/src/model/write_batch.h
@@ -1,7 +1,7 @@
 // The leader's durable records and the transaction that writes them.
 //
-// Task records are grouped into pages, each stored under one key, so that one
-// transaction carries the bindings of many jobs.
+// Task records are grouped into pages, each stored under one key, so that one transaction can write
+// the bindings of many jobs.
 #pragma once
 
 #include <cstddef>
@@ -18,7 +18,7 @@
 // How a job ended.
 enum class JobOutcome { kDone, kCancelled };
 
-// A task's durable record. Tasks that were never bound have none.
+// The durable record of a task. A task that was never bound has no record.
 struct TaskRecord {
   std::uint32_t index = 0;
   Attempt attempt;
@@ -28,8 +28,8 @@
   bool operator==(const TaskRecord&) const = default;
 };
 
-// Names a page that is shared by all jobs, or a block of one job's tasks as earlier versions wrote
-// them.
+// Identifies a page shared by all jobs, or a block of tasks of a single job, as written by earlier
+// versions.
 struct RecordPageKey {
   JobId job;  // empty: a shared page
   std::uint64_t number = 0;
@@ -42,27 +42,27 @@
   TaskRecord task;
 };
 
-// The leader's own number of a page, not stored. 0: no page.
+// The leader's in-memory number of a page, which is not stored. 0: no page.
 using RecordPageId = std::uint32_t;
 
-// One transaction of the leader. Whoever carries it out adds the conditions on the leader's key and
-// on its epoch; each key below is written only if it is still at the expected revision.
+// One transaction of the leader. The code that commits it adds the conditions on the leader key and
+// on the epoch. The transaction applies only if each key below is at its expected revision.
 struct WriteBatch {
   // Writes a page.
   struct Put {
     RecordPageId page = 0;
     RecordPageKey key;
     Revision expected;
-    std::size_t rewritten = 0;  // so many of `records`, the first ones, are not new
+    std::size_t rewritten = 0;  // number of leading entries of `records` that are not new
     std::vector<RecordPageEntry> records;
   };
-  // Removes a page without live records.
+  // Deletes a page without live records.
   struct Drop {
     RecordPageId page = 0;
     RecordPageKey key;
     Revision expected;
   };
-  // Replaces a job's record by its final one.
+  // Replaces a job's record by its final record.
   struct Final {
     JobId job;
     JobOutcome state = JobOutcome::kDone;
@@ -71,7 +71,8 @@
   std::vector<Put> puts;
   std::vector<Drop> drops;
   std::vector<Final> finals;
-  std::map<JobId, Revision> expected_job_revisions;  // expected revisions of jobs with new records
+  std::map<JobId, Revision>
+      expected_job_revisions;  // expected revisions of the job keys of jobs with new records
 
   bool empty() const { return puts.empty() && drops.empty() && finals.empty(); }
 };
--- a/src/net/address.h
+++ b/src/net/address.h
@@ -10,7 +10,7 @@
 struct Address {
   std::string host;
   int port = 0;
-  // Parses "10.0.0.1:8080"; nullopt: not of this form.
+  // Parses text such as "10.0.0.1:8080"; nullopt if it is malformed.
   static std::optional<Address> Parse(const std::string& text);
 };
 
--- a/src/net/blocking_stream.cc
+++ b/src/net/blocking_stream.cc
@@ -71,12 +71,13 @@
 }
 
 bool BlockingStream::WaitUntilWritable() const {
-  pollfd waited{socket_, POLLOUT, 0};
-  return poll(&waited, 1, static_cast<int>(limits_.send_timeout.value * 1000)) > 0;
+  pollfd descriptor{socket_, POLLOUT, 0};
+  return poll(&descriptor, 1, static_cast<int>(limits_.send_timeout.value * 1000)) > 0;
 }
 
-// Small messages come in one piece, so the clock is read for others only.
-bool BlockingStream::IsInTime() {
+// The first call starts the timer. Small messages arrive in one read and skip this check, which
+// saves reading the clock.
+bool BlockingStream::WithinReceiveTimeout() {
   if (limits_.receive_timeout.value <= 0) return true;
   const auto now = std::chrono::steady_clock::now();
   if (!message_.start) message_.start = now;
@@ -96,15 +97,15 @@
   message_.start.reset();
 }
 
-bool BlockingStream::MayReadMore() {
-  // The library limits bodies of a declared length only, not chunked ones.
+bool BlockingStream::WithinLimits() {
+  // cpp-httplib limits only bodies with a Content-Length, not chunked ones.
   if (message_.bytes > limits_.message_bytes) return false;
-  return message_.bytes == 0 || (IsInTime() && AddPending(input_.bytes.size()));
+  return message_.bytes == 0 || (WithinReceiveTimeout() && AddPending(input_.bytes.size()));
 }
 
 bool BlockingStream::FillInput() {
   if (!output_.empty() && !Flush()) return false;
-  if (!MayReadMore()) return false;
+  if (!WithinLimits()) return false;
   ssize_t count = 0;
   do count = recv(socket_, input_.bytes.data(), input_.bytes.size(), 0);
   while (count < 0 && errno == EINTR);
--- a/src/net/blocking_stream.h
+++ b/src/net/blocking_stream.h
@@ -1,4 +1,4 @@
-// A connection on a blocking socket, for cpp-httplib's parsers.
+// A stream over a blocking socket for cpp-httplib's parsers.
 #pragma once
 
 #include <httplib.h>
@@ -15,18 +15,17 @@
 
 namespace magpie {
 
-// Reads and writes a socket that stays its owner's. What is written is buffered and sent by
-// Flush, or before the next read that blocks, since every system call and packet has its cost.
-// Not thread-safe.
+// Reads from and writes to a socket that it does not own. To save system calls and packets, writes
+// are buffered until Flush or until the next read from the socket. Not thread-safe.
 class BlockingStream : public httplib::Stream {
  public:
   struct Limits {
-    // Bytes read for one message, whatever length it declares.
+    // Maximum bytes read for one message, regardless of the declared length.
     std::size_t message_bytes = std::numeric_limits<std::size_t>::max();
-    Seconds send_timeout{5};  // for the other side to take more of what is sent
-    // For a message that has begun to be complete; 0: no limit.
+    Seconds send_timeout{5};  // for the peer to accept more data
+    // From the first bytes of a message to its last; 0: no limit.
     Seconds receive_timeout{};
-    // Bytes of incomplete messages read by all streams that share the counter, and their limit.
+    // Bytes of incomplete messages over all streams that share the counter, and their limit.
     std::atomic<std::size_t>* pending_bytes = nullptr;
     std::size_t max_pending_bytes = 0;
   };
@@ -36,17 +35,17 @@
   BlockingStream(const BlockingStream&) = delete;
   BlockingStream& operator=(const BlockingStream&) = delete;
 
-  // Starts a new message: the limits apply to it anew.
+  // Starts a new message and resets the per-message limits.
   void StartMessage();
-  // Starts a new message and waits for its first bytes. False: the connection is over.
+  // Starts a new message and waits for its first bytes. False: the connection is closed or failed.
   bool WaitForMessage();
-  // Whether bytes of the next message have been read already.
+  // Whether bytes of the next message have already been read.
   bool has_buffered_input() const { return input_.begin < input_.end; }
-  // Whether a message ended before it was complete: there is nothing to answer.
+  // Whether the input ended within a message. Such a message is not answered.
   bool truncated() const { return truncated_; }
-  // Whether the other side let a time limit pass.
+  // Whether a send or receive timeout expired.
   bool timed_out() const { return timed_out_; }
-  // Sends what was written since the last time. False: the connection is over.
+  // Sends the buffered output. False: the connection is closed or failed.
   bool Flush();
 
   // httplib::Stream
@@ -61,10 +60,10 @@
  private:
   struct InputBuffer {
     std::array<char, 4096> bytes{};
-    std::size_t begin = 0;  // of what is not yet read
-    std::size_t end = 0;
+    std::size_t begin = 0;  // start of the unread bytes
+    std::size_t end = 0;    // end of the unread bytes
   };
-  // Of the message that is being read.
+  // Progress of the message that is being read.
   struct MessageProgress {
     std::size_t bytes = 0;
     std::size_t pending_bytes = 0;  // counted in Limits::pending_bytes
@@ -72,11 +71,11 @@
   };
 
   bool WaitUntilWritable() const;
-  bool IsInTime();
+  bool WithinReceiveTimeout();
   bool AddPending(std::size_t bytes);
   void ReleasePending();
   bool FillInput();
-  bool MayReadMore();
+  bool WithinLimits();
 
   int socket_;
   Limits limits_;
--- a/src/net/file_descriptor.h
+++ b/src/net/file_descriptor.h
@@ -1,4 +1,4 @@
-// Ownership of file descriptors.
+// RAII ownership of file descriptors.
 #pragma once
 
 #include <unistd.h>
@@ -7,7 +7,7 @@
 
 namespace magpie {
 
-// Closes its file descriptor, a socket for example, when it is destroyed.
+// Owns a file descriptor, such as a socket, and closes it on destruction.
 class FileDescriptor {
  public:
   FileDescriptor() = default;
--- a/src/net/http_client.cc
+++ b/src/net/http_client.cc
@@ -35,8 +35,8 @@
   return address;
 }
 
-// The library's client without its connections: it writes a request to a
-// stream and reads the response from it. It keeps nothing between two calls.
+// cpp-httplib's client without its connection handling: writes a request to a stream and reads the
+// response from it. Stateless between calls.
 class HttpClient::Exchange : private httplib::ClientImpl {
  public:
   explicit Exchange(const Address& address) : ClientImpl(address.host, address.port) {
@@ -48,7 +48,7 @@
   }
 };
 
-// An open connection with the stream on it.
+// An open connection and its stream.
 class HttpClient::Connection {
  public:
   Connection(FileDescriptor socket, Seconds send_timeout)
@@ -62,10 +62,10 @@
                         static_cast<suseconds_t>((timeout.value - whole_seconds) * 1e6)};
     setsockopt(socket_.get(), SOL_SOCKET, SO_RCVTIMEO, &value, sizeof value);
   }
-  // Whether the other side has left it open. One just used is taken to be open.
+  // Whether the peer has not closed the connection. A recently used one is assumed to be open.
   bool IsOpen() const {
-    constexpr std::chrono::milliseconds kJustUsed{200};
-    if (std::chrono::steady_clock::now() - last_used < kJustUsed) return true;
+    constexpr std::chrono::milliseconds kRecentUse{200};
+    if (std::chrono::steady_clock::now() - last_used < kRecentUse) return true;
     char byte = 0;
     const ssize_t count = recv(socket_.get(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     return count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
@@ -99,15 +99,15 @@
   if (connect(socket.get(), reinterpret_cast<const sockaddr*>(&destination), sizeof destination) !=
       0) {
     if (errno != EINPROGRESS) return {};
-    pollfd waited{socket.get(), POLLOUT, 0};
+    pollfd descriptor{socket.get(), POLLOUT, 0};
     int ready = 0;
-    do ready = poll(&waited, 1, static_cast<int>(connect_timeout_.value * 1000));
+    do ready = poll(&descriptor, 1, static_cast<int>(connect_timeout_.value * 1000));
     while (ready < 0 && errno == EINTR);
-    if (ready <= 0 || (waited.revents & (POLLERR | POLLHUP)) != 0)
+    if (ready <= 0 || (descriptor.revents & (POLLERR | POLLHUP)) != 0)
       return {.connection = nullptr, .timed_out = ready == 0};
   }
   if (fcntl(socket.get(), F_SETFL, O_RDWR) != 0) return {};
-  // Long messages over kept connections must not wait for acknowledgements.
+  // Without TCP_NODELAY, long messages over reused connections would wait for acknowledgements.
   const int on = 1;
   if (max_idle_ > 0) setsockopt(socket.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
   return {std::make_unique<Connection>(std::move(socket), timeout_)};
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -1,8 +1,8 @@
-// Blocking HTTP calls over kept connections, with a time limit for each.
+// Blocking HTTP calls with a timeout over persistent connections.
 //
-// cpp-httplib builds the requests and parses the responses; the connections are our own. The
-// library's client sends head and body apart and polls before and after each step, which makes
-// ten system calls and two packets of a small POST. Here it is one send and one recv.
+// cpp-httplib builds the requests and parses the responses, but the connections are managed here.
+// The library's client sends head and body separately and polls before and after each step: ten
+// system calls and two packets for a small POST. This client needs one send and one recv.
 #pragma once
 
 #include <memory>
@@ -15,32 +15,32 @@
 
 namespace magpie {
 
-// How a call ended. `status` and `body` are set only if it was answered.
+// The result of a call. `status` and `body` are set only if `answered` is true.
 struct HttpAnswer {
-  // False: there was no connection, so the request can't arrive later either.
+  // False: no connection was established, so the request cannot arrive later.
   bool sent = false;
-  // False: no complete response; what was sent may have been carried out.
+  // False: no complete response. If `sent` is true, the request may have been carried out.
   bool answered = false;
   int status = 0;
   std::string body;
-  // Neither an answer nor a refusal or a close came in time, as in a network partition. A process
-  // that has ended refuses or closes at once.
+  // The timeout expired without a response, a refused connection or a close, as in a network
+  // partition. When the server process has exited, its connections are refused or closed at once.
   bool timed_out = false;
 };
 
-// Client of one address. Thread-safe: each call in progress has its own connection.
+// Client for one address. Thread-safe: each call in progress uses its own connection.
 class HttpClient {
  public:
-  // Up to `max_idle` connections are kept between calls. `timeout` is for an answer.
+  // Keeps up to `max_idle` connections open between calls. `timeout` applies to the response.
   HttpClient(Address address, Seconds connect_timeout, Seconds timeout, std::size_t max_idle);
   ~HttpClient();
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
-  // `extra_time` is added to the time limit, for calls that block on purpose.
+  // `extra_time` is added to the timeout, for long polls.
   HttpAnswer Get(const std::string& path, Seconds extra_time = {});
   HttpAnswer Post(const std::string& path, const std::string& body);
-  // With a time limit of its own for the answer.
+  // Uses `timeout` instead of the client's timeout.
   HttpAnswer Post(const std::string& path, const std::string& body, Seconds timeout);
 
  private:
@@ -49,10 +49,10 @@
   HttpAnswer Call(const char* method, const std::string& path, const std::string* body,
                   Seconds timeout);
   struct ConnectResult {
-    std::unique_ptr<Connection> connection;  // null: there is none
+    std::unique_ptr<Connection> connection;  // null: connecting failed
     bool timed_out = false;
   };
-  // An idle connection, or else a new one.
+  // Returns an idle connection, or a new one if there is none.
   ConnectResult AcquireConnection();
   std::unique_ptr<Connection> PopIdle();
   ConnectResult Connect() const;
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -19,17 +19,17 @@
 namespace {
 
 constexpr int kBacklog = 512;
-constexpr std::size_t kIdleThreads = 4;  // kept for the next requests
+constexpr std::size_t kIdleThreads = 4;  // threads that wait for the next requests
 constexpr int kBadRequest = 400;
 constexpr int kTooLarge = 413;
 constexpr int kServerError = 500;
 constexpr Seconds kSendTimeout{5};
-constexpr std::chrono::milliseconds kAcceptRetryPause{50};
+constexpr std::chrono::milliseconds kAcceptRetryDelay{50};
 constexpr char kBodyTooLong[] = R"({"error":"body too long"})";
-constexpr std::size_t kMaxRequestBytes = 1024 * 1024;  // whatever length a request declares
-constexpr std::uint64_t kStopEventNumber = 0;          // connections are numbered from 1
+constexpr std::size_t kMaxRequestBytes = 1024 * 1024;  // regardless of the declared length
+constexpr std::uint64_t kStopEventId = 0;              // ids of connections start at 1
 
-// Whether the connection of the request that this thread serves is closed after the answer.
+// Whether to close the connection after the response to the request that this thread serves.
 thread_local bool close_after_response = false;
 
 void RequestClose(httplib::Response& response) {
@@ -75,21 +75,22 @@
   if (request.body.size() > limits_.body_bytes) return {kBadRequest, kBodyTooLong};
   try {
     return handler_(request);
-  } catch (const std::exception& error) {  // handlers may throw anything
-    spdlog::error("request {} {}: {}", request.method, request.path, error.what());
+  } catch (const std::exception& error) {  // a handler may throw any exception
+    spdlog::error("request handler failed method={} path={} error={}", request.method, request.path,
+                  error.what());
     return {kServerError, R"({"error":"internal"})"};
   }
 }
 
 void HttpServer::HandleError(httplib::Response& response) {
   if (response.status == kTooLarge) {
-    // The protocol calls an over-long body malformed. The library has read past it, so the
-    // connection may go on.
+    // The protocol treats a body that is too long as malformed. The library has consumed the body,
+    // so the connection can stay open.
     response.status = kBadRequest;
     response.set_content(kBodyTooLong, "application/json");
   } else if (response.status == kBadRequest && response.body.empty()) {
-    // Not a request at all: what follows on this connection can't be trusted. The client must
-    // be told, or it would use it again.
+    // Not an HTTP request, so the rest of the input is unusable. The Connection: close header keeps
+    // the client from reusing the connection.
     RequestClose(response);
   }
 }
@@ -116,7 +117,7 @@
       bind(listener.get(), reinterpret_cast<sockaddr*>(&bound), sizeof bound) != 0 ||
       ::listen(listener.get(), kBacklog) != 0)
     return false;
-  // Accepted connections inherit the listener's timeout, so that it need not be set for each.
+  // Accepted connections inherit the listener's timeout, which saves a system call for each.
   SetReceiveTimeout(listener.get());
   port_ = address.port;
   if (port_ == 0) {
@@ -135,7 +136,7 @@
   if (descriptors_.stop_event.valid()) {
     epoll_event event{};
     event.events = EPOLLIN;
-    event.data.u64 = kStopEventNumber;
+    event.data.u64 = kStopEventId;
     epoll_ctl(descriptors_.epoll.get(), EPOLL_CTL_ADD, descriptors_.stop_event.get(), &event);
   }
   return true;
@@ -161,7 +162,7 @@
   setsockopt(socket, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
 }
 
-// Most systems hand the listener's timeout on to accepted connections.
+// On most systems accepted connections inherit the listener's timeout.
 bool HttpServer::HasReceiveTimeout(int socket) {
   timeval timeout{};
   socklen_t size = sizeof timeout;
@@ -176,36 +177,36 @@
       if (stopping_) return;
       const bool transient =
           errno == EINTR || errno == ECONNABORTED || errno == EAGAIN || errno == EWOULDBLOCK;
-      if (!transient) std::this_thread::sleep_for(kAcceptRetryPause);  // no descriptors left
+      if (!transient) std::this_thread::sleep_for(kAcceptRetryDelay);  // out of descriptors
       continue;
     }
     if (!timeout_inherited) timeout_inherited = HasReceiveTimeout(socket.get());
     if (!*timeout_inherited) SetReceiveTimeout(socket.get());
-    Admit(std::move(socket));
+    AddConnection(std::move(socket));
   }
 }
 
-void HttpServer::Admit(FileDescriptor socket) {
+void HttpServer::AddConnection(FileDescriptor socket) {
   std::lock_guard lock(mutex_);
   const Instant now = SteadyNow();
-  if (!CloseIdle(now)) return;
-  if (threads_.total == 0) StartThread();  // there was no memory for one before
-  const std::uint64_t number = ++connections_.last_number;
-  connections_.list.push_back({number, std::move(socket), false, now});
+  if (!CloseIdleConnections(now)) return;
+  if (threads_.total == 0) StartThread();  // the last start failed for lack of memory
+  const std::uint64_t id = ++connections_.last_id;
+  connections_.list.push_back({id, std::move(socket), false, now});
   const auto connection = std::prev(connections_.list.end());
-  connections_.by_number[number] = connection;
+  connections_.by_id[id] = connection;
   if (!WaitForInput(*connection, Registration::kFirst)) Close(connection);
 }
 
-// Closes the connections that have been idle for too long, and at the limit the one that has been
-// idle longest: a flood of silent connections must not keep others out. False: the limit is
-// reached and all connections are in use. Requires mutex_.
-bool HttpServer::CloseIdle(Instant now) {
+// Closes connections past the idle timeout. At the connection limit it also closes the one that has
+// been idle longest, so that a flood of idle connections does not block new ones. False: the limit
+// is reached and all connections are busy. Requires mutex_.
+bool HttpServer::CloseIdleConnections(Instant now) {
   bool full = connections_.list.size() >= limits_.connections;
   for (auto connection = connections_.list.begin(); connection != connections_.list.end();) {
     const auto next = std::next(connection);
     if (!connection->busy) {
-      if (!full && now - connection->waiting_since < limits_.idle_timeout) break;
+      if (!full && now - connection->idle_since < limits_.idle_timeout) break;
       Close(connection);
       full = false;
     }
@@ -214,19 +215,19 @@
   return !full;
 }
 
-// A connection is reported once and then must be registered again, so that no two threads ever
-// serve the same one.
+// EPOLLONESHOT reports a connection only once until it is registered again, so that two threads
+// never serve the same connection.
 bool HttpServer::WaitForInput(const Connection& connection, Registration registration) const {
   epoll_event event{};
   event.events = EPOLLIN | EPOLLONESHOT;
-  event.data.u64 = connection.number;
+  event.data.u64 = connection.id;
   const int operation = registration == Registration::kFirst ? EPOLL_CTL_ADD : EPOLL_CTL_MOD;
   return epoll_ctl(descriptors_.epoll.get(), operation, connection.socket.get(), &event) == 0;
 }
 
 // Requires mutex_.
 void HttpServer::Close(ConnectionList::iterator connection) {
-  connections_.by_number.erase(connection->number);
+  connections_.by_id.erase(connection->id);
   connections_.list.erase(connection);
 }
 
@@ -234,14 +235,14 @@
 void HttpServer::StartThread() {
   ++threads_.total;
   try {
-    std::thread([this] { ServeLoop(); }).detach();
+    std::thread([this] { ServeRequests(); }).detach();
   } catch (const std::system_error& error) {
     --threads_.total;
-    spdlog::error("no thread for requests: {}", error.what());
+    spdlog::error("starting request thread failed error={}", error.what());
   }
 }
 
-void HttpServer::ServeLoop() {
+void HttpServer::ServeRequests() {
   std::unique_lock lock(mutex_);
   while (!stopping_ && threads_.waiting < kIdleThreads) {
     ++threads_.waiting;
@@ -251,31 +252,32 @@
     lock.lock();
     --threads_.waiting;
     if (count <= 0 || stopping_) continue;
-    const auto found = connections_.by_number.find(event.data.u64);
-    if (found == connections_.by_number.end()) continue;  // closed meanwhile
+    const auto found = connections_.by_id.find(event.data.u64);
+    if (found == connections_.by_id.end()) continue;  // closed in the meantime
     const auto connection = found->second;
     connection->busy = true;
     if (threads_.waiting == 0 && threads_.total < limits_.threads) StartThread();
     lock.unlock();
-    const bool keep = Serve(connection->socket.get());
+    const bool keep_open = Serve(connection->socket.get());
     lock.lock();
     connection->busy = false;
-    connection->waiting_since = SteadyNow();
+    connection->idle_since = SteadyNow();
     connections_.list.splice(connections_.list.end(), connections_.list, connection);
-    if (!keep || !WaitForInput(*connection, Registration::kAgain)) Close(connection);
+    if (!keep_open || !WaitForInput(*connection, Registration::kAgain)) Close(connection);
   }
   --threads_.total;
-  // Under the lock: nobody may destroy the server before this thread is done with it.
+  // Notifies under the lock, so that the server is not destroyed while this thread still uses it.
   thread_ended_.notify_all();
 }
 
-// Clients that call seldom may outnumber the sockets: beyond this, their connections are closed.
+// Clients with infrequent requests may outnumber the available connections; above this limit their
+// connections are closed after each response.
 bool HttpServer::IsBusy() {
   std::lock_guard lock(mutex_);
   return connections_.list.size() > limits_.keep_alive_connections;
 }
 
-// Answers the requests that have come. False: the connection is over.
+// Serves the requests that have arrived. False: the connection must be closed.
 bool HttpServer::Serve(int socket) {
   BlockingStream stream(socket, {.message_bytes = kMaxRequestBytes,
                                  .send_timeout = kSendTimeout,
@@ -287,7 +289,7 @@
     bool closed = false;
     close_after_response = false;
     const bool processed = process_request(stream, false, closed, nullptr);
-    // An incomplete request is not answered as malformed, or its user would not retry it.
+    // No 400 for an incomplete request, because the client would not retry it.
     if (stream.truncated() || !stream.Flush()) return false;
     if (!processed || closed || close_after_response) return false;
   } while (stream.has_buffered_input());
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -1,10 +1,10 @@
-// An HTTP server on cpp-httplib's parser, with loops of its own.
+// An HTTP server that uses cpp-httplib's parser with its own accept and request loops.
 //
-// The library's own loop keeps a pool thread for each open connection and wakes up every 10 ms on
-// each idle one, which is too costly on small machines. Here a few threads wait together for all
-// connections. The one that is woken reads the request, answers it on the blocking socket and
-// returns the connection to those that are waited for. An open connection costs little more than
-// its socket, where a stack of its own would take 40 KB.
+// The library's loop keeps a pool thread for each open connection and wakes up every 10 ms for each
+// idle one, which is too expensive on small machines. Here a few threads share one epoll instance
+// for all connections. The thread that epoll wakes serves the request on the blocking socket and
+// registers the connection again. An idle connection costs little more than its socket, whereas a
+// thread stack would take 40 KB.
 #pragma once
 
 #include <httplib.h>
@@ -25,24 +25,24 @@
 
 namespace magpie {
 
-// A request as handlers see it.
+// A request as passed to handlers.
 struct HttpRequest {
   std::string method;
   std::string path;
   std::string body;
 };
 
-// What a handler answers; the body is JSON.
+// A handler's response; the body is JSON.
 struct HttpResponse {
   int status = 200;
   std::string body;
-  std::uint32_t retry_after_s = 0;  // of the Retry-After header; 0: none is sent
-  // Whether the connection is closed when Limits::keep_alive_connections are open.
+  std::uint32_t retry_after_s = 0;  // value of the Retry-After header; 0: no header
+  // Close the connection if more than Limits::keep_alive_connections are open.
   bool close_if_busy = false;
 };
 
-// Calls the handler for each request, from several threads at a time. What the handler throws is
-// logged and answered with 500.
+// Calls the handler for each request, from several threads concurrently. An exception from the
+// handler is logged and answered with 500.
 class HttpServer : private httplib::Server {
  public:
   using Handler = std::function<HttpResponse(const HttpRequest&)>;
@@ -51,17 +51,17 @@
     std::size_t connections = 400;
     // HttpResponse::close_if_busy applies when more connections than this are open.
     std::size_t keep_alive_connections = 400;
-    std::size_t threads = 64;                 // requests in progress at a time
-    std::size_t body_bytes = 64 * 1024;       // of a request
-    std::size_t pending_bytes = 1024 * 1024;  // of all incomplete requests together
-    Seconds idle_timeout{120};                // of a connection between two requests
-    Seconds receive_timeout{10};              // for a request to be complete
+    std::size_t threads = 64;                 // concurrent requests
+    std::size_t body_bytes = 64 * 1024;       // of one request
+    std::size_t pending_bytes = 1024 * 1024;  // total for all incomplete requests
+    Seconds idle_timeout{120};                // for a connection between requests
+    Seconds receive_timeout{10};              // from the first bytes of a request to its last
   };
 
   HttpServer(Handler handler, Limits limits);
   ~HttpServer() override;
 
-  // Binds and starts accepting; port 0 takes any free one. False when that fails.
+  // Binds the address and starts accepting; port 0 selects a free port. False: it failed.
   bool Start(const Address& address);
   int port() const { return port_; }
   // Closes all connections and waits for the requests in progress.
@@ -69,16 +69,16 @@
 
  private:
   struct Connection {
-    std::uint64_t number = 0;
+    std::uint64_t id = 0;
     FileDescriptor socket;
-    bool busy = false;      // a thread serves it
-    Instant waiting_since;  // when it became idle
+    bool busy = false;   // a thread serves the connection
+    Instant idle_since;  // start of the current idle period
   };
   using ConnectionList = std::list<Connection>;
   struct Connections {
-    ConnectionList list;  // the longest idle first
-    std::unordered_map<std::uint64_t, ConnectionList::iterator> by_number;
-    std::uint64_t last_number = 0;
+    ConnectionList list;  // longest idle first
+    std::unordered_map<std::uint64_t, ConnectionList::iterator> by_id;
+    std::uint64_t last_id = 0;
   };
   struct Threads {
     std::size_t waiting = 0;
@@ -87,7 +87,7 @@
   struct Descriptors {
     FileDescriptor listener;
     FileDescriptor epoll;
-    FileDescriptor stop_event;  // wakes all threads for good
+    FileDescriptor stop_event;  // makes all threads exit
   };
 
   void InstallHandlers();
@@ -97,9 +97,9 @@
   bool Listen(const Address& address);
   bool CreatePoll();
   void AcceptLoop();
-  void Admit(FileDescriptor socket);
-  bool CloseIdle(Instant now);
-  void ServeLoop();
+  void AddConnection(FileDescriptor socket);
+  bool CloseIdleConnections(Instant now);
+  void ServeRequests();
   bool Serve(int socket);
   void StartThread();
   enum class Registration { kFirst, kAgain };
--- a/src/protocol/cloud_codec.cc
+++ b/src/protocol/cloud_codec.cc
@@ -1,4 +1,4 @@
-// Machine types, machines and requests for them (PROTOCOL, "Controller nodes -> cloud").
+// Machine types, machines and provision requests (PROTOCOL, "Controller nodes -> cloud").
 #include <utility>
 
 #include "protocol/codec.h"
--- a/src/protocol/codec.h
+++ b/src/protocol/codec.h
@@ -1,5 +1,6 @@
-// The protocol's JSON (PROTOCOL). Its field names, words and paths are known in this package alone.
-// What comes in is checked: functions named ...From... raise InvalidMessage for what is malformed.
+// The JSON messages of the protocol (PROTOCOL). Only this package contains its field names, words
+// and paths. Functions named ...From... validate their input and throw InvalidMessage if it is
+// malformed.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -17,7 +18,7 @@
 
 using Json = nlohmann::json;
 
-// A message is malformed; the text names the field and what is wrong with it.
+// Thrown for a malformed message; the text names the field and the problem.
 class InvalidMessage : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -34,16 +35,16 @@
 inline constexpr char kMachinesPath[] = "/rentals";
 inline constexpr char kReleasePath[] = "/rentals/release";
 
-// Parses text; raises InvalidMessage when it is no JSON object.
+// Parses a JSON object; throws InvalidMessage if the text is anything else.
 Json ParseObject(const std::string& text);
 
-// A job as users submit it (its submission time is not set).
+// Parses a job as submitted by a user; the submission time is not set.
 JobSpec JobFromUser(const Json& body);
-// A job as the stored records have it.
+// The format of stored job records.
 Json JobToRecord(const JobSpec& spec);
 JobSpec JobFromRecord(const Json& record);
 
-// What users are told of a job.
+// The state of a job as reported to users.
 struct JobStatusReply {
   JobId id;
   std::string state;  // one of the words below
@@ -54,10 +55,10 @@
 inline constexpr char kRunning[] = "running";
 inline constexpr char kDone[] = "done";
 inline constexpr char kCancelled[] = "withdrawn";
-// `counts`: with the numbers of tasks.
+// `counts`: whether to include the numbers of done and running tasks.
 Json JobStatusReplyToJson(const JobStatusReply& answer, bool counts);
 
-// A task id as "j-000412/3".
+// The text form of a task id, such as "j-000412/3".
 std::string TaskIdToText(const TaskId& id);
 TaskId TaskIdFromText(const std::string& text);
 
@@ -67,25 +68,25 @@
 std::vector<Command> CommandsFromJson(const Json& list);
 // The response to a heartbeat.
 Json HeartbeatResponseToJson(FencingToken token, const std::vector<Command>& commands);
-// The body of a 421 that sends a worker to another controller.
+// The body of a 421 response that redirects a worker to another controller.
 Json RedirectToJson(const std::string& node);
-// The body of direct commands.
+// The body of a direct command request.
 Json DirectCommandToJson(FencingToken token, std::uint64_t agent_epoch,
                          const std::vector<Command>& commands);
 
 std::vector<MachineType> TypesFromJson(const Json& body);
-// The body of a request for machines; `name` identifies it when it is repeated.
+// The body of a provision request; `name` identifies the request when it is repeated.
 Json ProvisionToJson(const std::string& name, const std::string& type, const std::string& zone,
                      bool spot, std::uint32_t count);
 std::vector<MachineId> MachineIdsFromJson(const Json& body);
 Json MachineIdsToJson(const std::vector<MachineId>& ids);
-// A part of the machine list.
+// One page of the machine list.
 struct MachinePage {
   std::vector<ListedMachine> machines;
-  bool more = false;  // there are machines after the last one
+  bool more = false;  // the list continues after this page
 };
 MachinePage MachinePageFromJson(const Json& body);
-// Path and query of the part after `after`, of at most `page_size` machines.
+// Path and query of the page that starts after machine `after`, with at most `page_size` machines.
 std::string MachineListQuery(const MachineId& after, std::uint32_t page_size);
 
 }  // namespace magpie::protocol
--- a/src/protocol/job_codec.cc
+++ b/src/protocol/job_codec.cc
@@ -1,4 +1,4 @@
-// Jobs in the protocol's JSON and in the stored records, which share its field names.
+// Jobs in the protocol's JSON and in stored records, which use the same field names.
 #include <charconv>
 #include <cstddef>
 #include <utility>
@@ -19,7 +19,7 @@
                                                     {"standard", Priority::kNormal},
                                                     {"low", Priority::kLow}};
 
-JobSpec CommonFields(const Json& message) {
+JobSpec JobFromCommonFields(const Json& message) {
   JobSpec spec;
   spec.id = {RequiredText(message, "id")};
   if (!IsJobId(spec.id.value)) ThrowInvalid("id", "not a job id");
@@ -55,7 +55,7 @@
 
 }  // namespace
 
-JobSpec JobFromUser(const Json& body) { return CommonFields(body); }
+JobSpec JobFromUser(const Json& body) { return JobFromCommonFields(body); }
 
 Json JobToRecord(const JobSpec& spec) {
   Json record{{"id", spec.id.value},
@@ -83,7 +83,7 @@
 }
 
 JobSpec JobFromRecord(const Json& record) {
-  JobSpec spec = CommonFields(CheckObject(record, "record"));
+  JobSpec spec = JobFromCommonFields(CheckObject(record, "record"));
   const Json& submitted = RequiredField(record, "at");
   if (!submitted.is_number()) ThrowInvalid("at", "not a number");
   spec.submitted = {submitted.get<double>()};
--- a/src/protocol/json_fields.cc
+++ b/src/protocol/json_fields.cc
@@ -44,7 +44,7 @@
 std::string ToText(const Json& value, const char* field, EmptyText empty) {
   if (!value.is_string()) ThrowInvalid(field, "not a string");
   const auto& text = value.get_ref<const std::string&>();
-  if (text.size() > kMaxTextLength || (text.empty() && empty == EmptyText::kRefused))
+  if (text.size() > kMaxTextLength || (text.empty() && empty == EmptyText::kRejected))
     ThrowInvalid(field, "bad length");
   return text;
 }
--- a/src/protocol/json_fields.h
+++ b/src/protocol/json_fields.h
@@ -1,5 +1,5 @@
-// Checked access to the fields of JSON messages. Each function raises InvalidMessage, which names
-// the field, when what it finds is not of the form asked for. Internal to the protocol's codec.
+// Checked access to the fields of JSON messages. Each function throws InvalidMessage with the name
+// of the field if the value does not have the expected form. Internal to the protocol's codec.
 #pragma once
 
 #include <cstddef>
@@ -13,17 +13,18 @@
 
 [[noreturn]] void ThrowInvalid(const char* field, const char* problem);
 
-// The field, or null if it is absent or null, which mean the same (PROTOCOL, introduction).
+// Returns null if the field is absent or its value is null, which are equivalent (PROTOCOL,
+// introduction).
 const Json* FindField(const Json& object, const char* field);
 const Json& RequiredField(const Json& object, const char* field);
 const Json& RequiredArray(const Json& object, const char* field);
 
-// The value itself; `field` is for the error.
+// Returns `value`; `field` is used in the error message.
 const Json& CheckObject(const Json& value, const char* field);
-// Whether a text may be empty.
-enum class EmptyText { kRefused, kAllowed };
-std::string ToText(const Json& value, const char* field, EmptyText empty = EmptyText::kRefused);
-// A finite number that is not negative.
+// Whether ToText accepts an empty string.
+enum class EmptyText { kRejected, kAllowed };
+std::string ToText(const Json& value, const char* field, EmptyText empty = EmptyText::kRejected);
+// A finite, non-negative number of at most 1e9.
 double ToAmount(const Json& value, const char* field);
 
 std::string RequiredText(const Json& object, const char* field);
@@ -33,7 +34,7 @@
 // An integer from 0 to 2^64 - 1.
 std::uint64_t RequiredCount(const Json& object, const char* field);
 
-// A word of the protocol and the value that it stands for.
+// A word of the protocol and the value that it represents.
 template <typename Value>
 struct WordMapping {
   const char* word;
@@ -49,7 +50,7 @@
   ThrowInvalid(field, "unknown word");
 }
 
-// The word of a value; the first one for a value that has none.
+// Returns the word of the value, or the first word if the value has none.
 template <typename Value, std::size_t kSize>
 const char* ToWord(Value value, const WordMapping<Value> (&mappings)[kSize]) {
   for (const auto& mapping : mappings)
--- a/src/protocol/worker_codec.cc
+++ b/src/protocol/worker_codec.cc
@@ -1,4 +1,4 @@
-// Heartbeats and commands (PROTOCOL, "Workers -> controller nodes").
+// Heartbeats, their responses and direct commands (PROTOCOL, "Workers -> controller nodes").
 #include <utility>
 
 #include "protocol/codec.h"
@@ -52,8 +52,8 @@
   heartbeat.agent_epoch = RequiredCount(body, "stint");
   heartbeat.sequence = RequiredCount(body, "chirp");
   heartbeat.token = {RequiredCount(body, "crest")};
-  if (const Json* notice = FindField(body, "warning_s"))
-    heartbeat.preemption_notice = Seconds{ToAmount(*notice, "warning_s")};
+  if (const Json* preemption_notice = FindField(body, "warning_s"))
+    heartbeat.preemption_notice = Seconds{ToAmount(*preemption_notice, "warning_s")};
   for (const Json& task : RequiredArray(body, "pecks"))
     heartbeat.tasks.push_back(TaskStatusFromJson(task));
   return heartbeat;
--- a/src/worker/worker_client.cc
+++ b/src/worker/worker_client.cc
@@ -9,12 +9,12 @@
 namespace {
 
 constexpr Seconds kConnectTimeout{1};
-// Probes are sent in numbers when machines have died, and most of those don't answer, while a
-// machine that is alive accepts a connection within milliseconds.
+// Many probes are sent at once when machines fail, and most of these machines do not respond. A
+// live machine accepts a connection within milliseconds.
 constexpr Seconds kProbeConnectTimeout{0.4};
-constexpr std::size_t kNoIdleConnections = 0;  // there are many workers, each rarely called
+constexpr std::size_t kNoIdleConnections = 0;  // there are many workers, and calls to each are rare
 constexpr int kExecuted = 200;
-constexpr int kNotExecuted = 409;  // token or session didn't match; the answer is the same
+constexpr int kNotExecuted = 409;  // token or agent epoch mismatch; the body is the same
 
 }  // namespace
 
@@ -34,7 +34,8 @@
     return {DeliveryStatus::kAnswered,
             protocol::HeartbeatFromJson(protocol::ParseObject(answer.body))};
   } catch (const protocol::InvalidMessage& error) {
-    spdlog::error("worker {}: {}", direct_command.machine.value, error.what());
+    spdlog::error("direct command response rejected machine={} error={}",
+                  direct_command.machine.value, error.what());
     return {DeliveryStatus::kUnknown, std::nullopt};
   }
 }
--- a/src/worker/worker_client.h
+++ b/src/worker/worker_client.h
@@ -9,13 +9,13 @@
 
 namespace magpie {
 
-// `heartbeat` is set with DeliveryStatus::kAnswered alone.
+// `heartbeat` is set only with DeliveryStatus::kAnswered.
 struct DirectCommandResult {
   DeliveryStatus status = DeliveryStatus::kUnknown;
   std::optional<Heartbeat> heartbeat;
 };
 
-// Sends the command over a connection of its own and waits for the answer, `timeout` at most.
+// Sends the command over a new connection and waits up to `timeout` for the response.
 DirectCommandResult SendDirectCommand(const DirectCommand& direct_command, Seconds timeout);
 
 }  // namespace magpie
--- a/tests/agent_journal_test.cc
+++ b/tests/agent_journal_test.cc
@@ -1,4 +1,4 @@
-// Stories of the agent's journal, on files of a temporary directory.
+// Tests of the agent's journal on files in a temporary directory.
 #include <gtest/gtest.h>
 #include <sqlite3.h>
 
@@ -15,29 +15,32 @@
  protected:
   AgentJournalTest() {
     std::string name = (std::filesystem::temp_directory_path() / "journal-XXXXXX").string();
-    if (mkdtemp(name.data()) == nullptr) throw std::runtime_error("no temporary directory");
+    if (mkdtemp(name.data()) == nullptr)
+      throw std::runtime_error("cannot create a temporary directory");
     directory_ = name;
   }
   ~AgentJournalTest() override { std::filesystem::remove_all(directory_); }
 
-  Journal::Options At() const {
+  Journal::Options DefaultOptions() const {
     Journal::Options options;
     options.path = (directory_ / "journal").string();
     return options;
   }
-  void Sql(const char* sql) const {
+  void ExecuteSql(const char* sql) const {
     sqlite3* db = nullptr;
-    ASSERT_EQ(sqlite3_open(At().path.c_str(), &db), SQLITE_OK);
+    ASSERT_EQ(sqlite3_open(DefaultOptions().path.c_str(), &db), SQLITE_OK);
     EXPECT_EQ(sqlite3_exec(db, sql, nullptr, nullptr, nullptr), SQLITE_OK);
     sqlite3_close(db);
   }
-  std::optional<JournalError::Kind> OpensWith() const {
+  std::optional<JournalError::Kind> OpenErrorKind() const {
     try {
-      Journal journal(At());
-    } catch (const JournalError& e) {
-      EXPECT_NE(std::string(e.what()).find(At().path), std::string::npos) << "names the file";
-      EXPECT_EQ(std::string(e.what()).find('\n'), std::string::npos) << "one line";
-      return e.kind();
+      Journal journal(DefaultOptions());
+    } catch (const JournalError& error) {
+      EXPECT_NE(std::string(error.what()).find(DefaultOptions().path), std::string::npos)
+          << "the message must name the file";
+      EXPECT_EQ(std::string(error.what()).find('\n'), std::string::npos)
+          << "the message must be a single line";
+      return error.kind();
     }
     return std::nullopt;
   }
@@ -46,125 +49,127 @@
 };
 
 TEST_F(AgentJournalTest, NewJournalIsEmpty) {
-  Journal journal(At());
-  const Worker::DurableState memory = journal.Load();
-  EXPECT_EQ(memory.agent_epoch, 0U);
-  EXPECT_EQ(memory.sequence, 0U);
-  EXPECT_EQ(memory.token.value, 0U);
-  EXPECT_TRUE(memory.done.empty());
+  Journal journal(DefaultOptions());
+  const Worker::DurableState state = journal.Load();
+  EXPECT_EQ(state.agent_epoch, 0U);
+  EXPECT_EQ(state.sequence, 0U);
+  EXPECT_EQ(state.token.value, 0U);
+  EXPECT_TRUE(state.done.empty());
 }
 
 TEST_F(AgentJournalTest, ReportedNumbersAreNeverReused) {
   {
-    Journal journal(At());
+    Journal journal(DefaultOptions());
     journal.Load();
-    journal.Keep(3, 17, FencingToken{41});
-    journal.KeepDone({{"j-1"}, 4});
-    journal.KeepDone({{"j-1"}, 4});
-    journal.KeepDone({{"j-2"}, 0});
-    journal.DropJob({"j-2"});
+    journal.SaveCounters(3, 17, FencingToken{41});
+    journal.RecordCompletedTask({{"j-1"}, 4});
+    journal.RecordCompletedTask({{"j-1"}, 4});
+    journal.RecordCompletedTask({{"j-2"}, 0});
+    journal.DeleteJobResults({"j-2"});
   }
-  Journal journal(At());
-  const Worker::DurableState memory = journal.Load();
-  EXPECT_EQ(memory.agent_epoch, 3U);
-  EXPECT_GE(memory.sequence, 17U);
-  EXPECT_EQ(memory.token.value, 41U);
-  EXPECT_EQ(memory.done, (std::set<TaskId>{{{"j-1"}, 4}}));
+  Journal journal(DefaultOptions());
+  const Worker::DurableState state = journal.Load();
+  EXPECT_EQ(state.agent_epoch, 3U);
+  EXPECT_GE(state.sequence, 17U);
+  EXPECT_EQ(state.token.value, 41U);
+  EXPECT_EQ(state.done, (std::set<TaskId>{{{"j-1"}, 4}}));
 }
 
-// A message a second must not be a write a second; but no number may be used twice.
+// Guards against a disk write for each message, and against reusing a sequence number after a
+// restart.
 TEST_F(AgentJournalTest, SequenceNumbersAreReservedInBatches) {
-  Journal::Options options = At();
+  Journal::Options options = DefaultOptions();
   options.sequence_step = 10;
   std::uint64_t last = 0;
   for (int restart = 0; restart < 3; ++restart) {
     Journal journal(options);
     std::uint64_t sequence = journal.Load().sequence;
     EXPECT_GE(sequence, last);
-    for (int i = 0; i < 25; ++i) journal.Keep(1, last = ++sequence, FencingToken{1});
+    for (int i = 0; i < 25; ++i) journal.SaveCounters(1, last = ++sequence, FencingToken{1});
   }
   Journal journal(options);
   EXPECT_GE(journal.Load().sequence, last);
-  EXPECT_LE(journal.Load().sequence, last + 10) << "and not many are skipped";
+  EXPECT_LE(journal.Load().sequence, last + 10) << "at most one reserved block is skipped";
 }
 
 TEST_F(AgentJournalTest, TwoAgentsWithOneJournalLoseNoState) {
-  Journal first(At());
-  Journal second(At());
+  Journal first(DefaultOptions());
+  Journal second(DefaultOptions());
   first.Load();
   second.Load();
-  first.Keep(9, 5000, FencingToken{90});
-  second.Keep(2, 10, FencingToken{91});
-  const Worker::DurableState memory = first.Load();
-  EXPECT_EQ(memory.agent_epoch, 9U);
-  EXPECT_GE(memory.sequence, 5000U);
-  EXPECT_EQ(memory.token.value, 91U);
+  first.SaveCounters(9, 5000, FencingToken{90});
+  second.SaveCounters(2, 10, FencingToken{91});
+  const Worker::DurableState state = first.Load();
+  EXPECT_EQ(state.agent_epoch, 9U);
+  EXPECT_GE(state.sequence, 5000U);
+  EXPECT_EQ(state.token.value, 91U);
 }
 
 TEST_F(AgentJournalTest, DamagedJournalIsReportedAndNotOverwritten) {
-  std::ofstream(At().path) << std::string(8192, 'x');
-  EXPECT_EQ(OpensWith(), JournalError::Kind::kDamaged);
-  EXPECT_EQ(std::filesystem::file_size(At().path), 8192U);
+  std::ofstream(DefaultOptions().path) << std::string(8192, 'x');
+  EXPECT_EQ(OpenErrorKind(), JournalError::Kind::kDamaged);
+  EXPECT_EQ(std::filesystem::file_size(DefaultOptions().path), 8192U);
 }
 
 TEST_F(AgentJournalTest, OverwrittenDatabasePageIsDetected) {
   {
-    Journal journal(At());
-    for (std::uint32_t i = 0; i < 500; ++i) journal.KeepDone({{"job-of-some-length"}, i});
+    Journal journal(DefaultOptions());
+    for (std::uint32_t i = 0; i < 500; ++i)
+      journal.RecordCompletedTask({{"job-of-some-length"}, i});
   }
-  Sql("PRAGMA wal_checkpoint(TRUNCATE)");
+  ExecuteSql("PRAGMA wal_checkpoint(TRUNCATE)");
   {
-    std::fstream file(At().path, std::ios::in | std::ios::out | std::ios::binary);
+    std::fstream file(DefaultOptions().path, std::ios::in | std::ios::out | std::ios::binary);
     file.seekp(3 * 4096);
     file << std::string(4096, 'x');
   }
-  EXPECT_EQ(OpensWith(), JournalError::Kind::kDamaged);
+  EXPECT_EQ(OpenErrorKind(), JournalError::Kind::kDamaged);
 }
 
 TEST_F(AgentJournalTest, ForeignDatabaseAndMissingRowAreRejected) {
-  Sql("CREATE TABLE worker (one INTEGER)");
-  EXPECT_EQ(OpensWith(), JournalError::Kind::kDamaged);
-  std::filesystem::remove(At().path);
+  ExecuteSql("CREATE TABLE worker (one INTEGER)");
+  EXPECT_EQ(OpenErrorKind(), JournalError::Kind::kDamaged);
+  std::filesystem::remove(DefaultOptions().path);
   {
-    Journal journal(At());
+    Journal journal(DefaultOptions());
   }
-  Sql("DELETE FROM worker");
-  EXPECT_EQ(OpensWith(), JournalError::Kind::kDamaged);
+  ExecuteSql("DELETE FROM worker");
+  EXPECT_EQ(OpenErrorKind(), JournalError::Kind::kDamaged);
 }
 
 TEST_F(AgentJournalTest, NewerFormatIsNotModified) {
   {
-    Journal journal(At());
+    Journal journal(DefaultOptions());
   }
-  Sql("PRAGMA user_version = 2");
-  EXPECT_EQ(OpensWith(), JournalError::Kind::kNewer);
+  ExecuteSql("PRAGMA user_version = 2");
+  EXPECT_EQ(OpenErrorKind(), JournalError::Kind::kNewer);
 }
 
 TEST_F(AgentJournalTest, FullDiskLeavesNoPartialWrite) {
-  Journal::Options options = At();
+  Journal::Options options = DefaultOptions();
   {
     Journal journal(options);
   }
   options.max_pages = 6;
   Journal journal(options);
   journal.Load();
-  std::uint32_t kept = 0;
+  std::uint32_t recorded = 0;
   std::optional<JournalError::Kind> kind;
-  for (; kept < 10000 && !kind; ++kept) {
+  for (; recorded < 10000 && !kind; ++recorded) {
     try {
-      journal.KeepDone({{"job-of-some-length-" + std::to_string(kept)}, kept});
-    } catch (const JournalError& e) {
-      kind = e.kind();
-      --kept;
+      journal.RecordCompletedTask({{"job-of-some-length-" + std::to_string(recorded)}, recorded});
+    } catch (const JournalError& error) {
+      kind = error.kind();
+      --recorded;
     }
   }
   EXPECT_EQ(kind, JournalError::Kind::kFull);
-  EXPECT_EQ(journal.Load().done.size(), kept) << "all that was said to be, and no more";
+  EXPECT_EQ(journal.Load().done.size(), recorded) << "exactly the records whose writes succeeded";
 }
 
 TEST_F(AgentJournalTest, UnusableDirectoryIsReported) {
-  std::filesystem::create_directory(At().path);
-  EXPECT_EQ(OpensWith(), JournalError::Kind::kOther);
+  std::filesystem::create_directory(DefaultOptions().path);
+  EXPECT_EQ(OpenErrorKind(), JournalError::Kind::kOther);
 }
 
 }  // namespace
--- a/tests/agent_test.cc
+++ b/tests/agent_test.cc
@@ -1,4 +1,4 @@
-// Stories of the worker's side of the protocol.
+// Tests of the worker's side of the protocol.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -13,306 +13,314 @@
 class WorkerTest : public ::testing::Test {
  protected:
   static Worker::Options DefaultOptions() {
-    Worker::Options o;
-    o.machine = {"m-1"};
-    o.capacity = {8, 0, 32};
-    o.cache_gb = 10;
-    o.heartbeat_interval = {4};
-    o.lease = {30};
-    o.nodes = {"n0", "n1", "n2"};
-    return o;
+    Worker::Options options;
+    options.machine = {"m-1"};
+    options.capacity = {8, 0, 32};
+    options.cache_gb = 10;
+    options.heartbeat_interval = {4};
+    options.lease = {30};
+    options.nodes = {"n0", "n1", "n2"};
+    return options;
   }
-  static TaskId T(std::uint32_t index, const std::string& job = "j-1") { return {{job}, index}; }
-  static Command RunOf(const TaskId& task, std::uint64_t attempt = 1) {
+  static TaskId TaskOf(std::uint32_t index, const std::string& job = "j-1") {
+    return {{job}, index};
+  }
+  static Command RunCommand(const TaskId& task, std::uint64_t attempt = 1) {
     return {CommandKind::kRun, task, {attempt}, {}};
   }
-  static Command StopOf(const TaskId& task, double termination_grace_period,
-                        std::uint64_t attempt = 1) {
+  static Command StopCommand(const TaskId& task, double termination_grace_period,
+                             std::uint64_t attempt = 1) {
     return {CommandKind::kStop, task, {attempt}, {termination_grace_period}};
   }
-  static Command ForgetOf(const TaskId& task, std::uint64_t attempt = 1) {
+  static Command ForgetCommand(const TaskId& task, std::uint64_t attempt = 1) {
     return {CommandKind::kForget, task, {attempt}, {}};
   }
-  static JobDescription Job(double cpus = 2, const std::string& image = "img") {
+  static JobDescription MakeDescription(double cpus = 2, const std::string& image = "img") {
     return {{cpus, 0, 1}, image, 4, {0}, {0}};
   }
-  static Answer Ok(std::uint64_t token, std::vector<Command> commands = {}) {
+  static Answer OkAnswer(std::uint64_t token, std::vector<Command> commands = {}) {
     return {Answer::Kind::kOk, FencingToken{token}, std::nullopt, std::move(commands)};
   }
 
-  // One report and its answer, as soon as one is due.
-  void Exchange(const Answer& answer) {
+  // Advances the time to the next heartbeat, sends it and delivers the answer.
+  void ExchangeHeartbeat(const Answer& answer) {
     now = std::max(now, worker.NextWakeup());
     ASSERT_TRUE(worker.NextHeartbeat(now));
     worker.OnAnswer(answer, now);
   }
-  // A task of 2 CPUs that runs.
-  void Started(const TaskId& task, const JobDescription& job = Job()) {
-    Exchange(Ok(1, {RunOf(task)}));
+  // Starts a task and waits until it runs.
+  void StartTask(const TaskId& task, const JobDescription& job = MakeDescription()) {
+    ExchangeHeartbeat(OkAnswer(1, {RunCommand(task)}));
     worker.OnDescription(task.job, job);
     worker.OnImage(job.image, true);
-    ASSERT_EQ(State(task), TaskState::kRunning);
+    ASSERT_EQ(StateOf(task), TaskState::kRunning);
     worker.TakeEffects();
   }
-  std::optional<TaskStatus> Seen(const TaskId& task, std::uint64_t attempt = 1) {
-    for (const TaskStatus& t : worker.Inspect().tasks)
-      if (t.task == task && t.attempt.value == attempt) return t;
+  std::optional<TaskStatus> FindStatus(const TaskId& task, std::uint64_t attempt = 1) {
+    for (const TaskStatus& status : worker.Inspect().tasks)
+      if (status.task == task && status.attempt.value == attempt) return status;
     return std::nullopt;
   }
-  std::optional<TaskState> State(const TaskId& task) {
-    const auto t = Seen(task);
-    return t ? std::optional(t->state) : std::nullopt;
+  std::optional<TaskState> StateOf(const TaskId& task) {
+    const auto status = FindStatus(task);
+    return status ? std::optional(status->state) : std::nullopt;
   }
-  ExitReason Cause(const TaskId& task, std::uint64_t attempt = 1) {
-    const auto t = Seen(task, attempt);
-    return t ? t->reason : ExitReason::kNone;
+  ExitReason ReasonOf(const TaskId& task, std::uint64_t attempt = 1) {
+    const auto status = FindStatus(task, attempt);
+    return status ? status->reason : ExitReason::kNone;
   }
-  int Asked(Kind kind) {
+  int TakeEffectCount(Kind kind) {
     const std::vector<Effect> effects = worker.TakeEffects();
-    return static_cast<int>(std::count_if(effects.begin(), effects.end(),
-                                          [&](const Effect& e) { return e.kind == kind; }));
+    return static_cast<int>(std::count_if(
+        effects.begin(), effects.end(), [&](const Effect& effect) { return effect.kind == kind; }));
   }
 
-  double dice = 0.5;
+  double random_value = 0.5;
   Instant now{100};
-  Worker worker{DefaultOptions(), {}, [this] { return dice; }, now};
+  Worker worker{DefaultOptions(), {}, [this] { return random_value; }, now};
 };
 
-TEST_F(WorkerTest, SendsOneHeartbeatAtATimeHalfASecondApart) {
+TEST_F(WorkerTest, KeepsSingleHeartbeatInFlightAndMinimumGap) {
   ASSERT_TRUE(worker.NextHeartbeat(now));
-  EXPECT_FALSE(worker.NextHeartbeat(now + Seconds{3})) << "the first is on its way";
-  worker.OnAnswer(Ok(1, {RunOf(T(0))}), now + Seconds{0.1});
+  EXPECT_FALSE(worker.NextHeartbeat(now + Seconds{3})) << "the first heartbeat is in flight";
+  worker.OnAnswer(OkAnswer(1, {RunCommand(TaskOf(0))}), now + Seconds{0.1});
   EXPECT_FALSE(worker.NextHeartbeat(now + Seconds{0.4}));
   EXPECT_EQ(worker.NextWakeup(), now + Seconds{0.5});
-  EXPECT_TRUE(worker.NextHeartbeat(now + Seconds{0.5})) << "a task is a change";
-  worker.OnAnswer(Ok(1), now + Seconds{0.6});
-  EXPECT_FALSE(worker.NextHeartbeat(now + Seconds{4.4})) << "without a change, as it is due";
+  EXPECT_TRUE(worker.NextHeartbeat(now + Seconds{0.5})) << "a new task triggers a heartbeat";
+  worker.OnAnswer(OkAnswer(1), now + Seconds{0.6});
+  EXPECT_FALSE(worker.NextHeartbeat(now + Seconds{4.4})) << "no change, so the interval applies";
   EXPECT_TRUE(worker.NextHeartbeat(now + Seconds{4.5}));
 }
 
-TEST_F(WorkerTest, HeartbeatIntervalVariesByAQuarter) {
-  for (const auto& [roll, gap] : {std::pair{0.0, 3.0}, {1.0, 5.0}}) {
-    dice = roll;
-    Exchange(Ok(1));
-    Exchange(Ok(1));
+TEST_F(WorkerTest, HeartbeatIntervalVariesByQuarter) {
+  for (const auto& [random_number, gap] : {std::pair{0.0, 3.0}, {1.0, 5.0}}) {
+    random_value = random_number;
+    ExchangeHeartbeat(OkAnswer(1));
+    ExchangeHeartbeat(OkAnswer(1));
     EXPECT_NEAR((worker.NextWakeup() - now).value, gap, 1e-9);
   }
 }
 
-TEST_F(WorkerTest, FollowsRedirectsAndElseTriesTheNextController) {
+TEST_F(WorkerTest, FollowsRedirectOrTriesNextController) {
   EXPECT_EQ(worker.NextHeartbeat(now)->node, "n0");
   worker.OnAnswer({Answer::Kind::kRedirected, {}, "n2", {}}, now);
   EXPECT_LE(worker.NextWakeup(), now + Seconds{0.5});
   now = worker.NextWakeup();
   EXPECT_EQ(worker.NextHeartbeat(now)->node, "n2");
-  // Itself, nobody, one that it does not know, and no answer: the next one, 1 s later.
-  const std::vector<Answer> useless = {{Answer::Kind::kRedirected, {}, "n2", {}},
-                                       {Answer::Kind::kRedirected, {}, std::nullopt, {}},
-                                       {Answer::Kind::kRedirected, {}, "n9", {}},
-                                       {Answer::Kind::kFailed, {}, std::nullopt, {}}};
+  // After a redirect to the same controller, to none or to an unknown one, and after a failure, the
+  // worker tries the next controller 1 s later.
+  const std::vector<Answer> unusable_answers = {{Answer::Kind::kRedirected, {}, "n2", {}},
+                                                {Answer::Kind::kRedirected, {}, std::nullopt, {}},
+                                                {Answer::Kind::kRedirected, {}, "n9", {}},
+                                                {Answer::Kind::kFailed, {}, std::nullopt, {}}};
   const std::vector<std::string> next = {"n0", "n1", "n2", "n0"};
-  for (std::size_t i = 0; i < useless.size(); ++i) {
-    worker.OnAnswer(useless[i], now);
+  for (std::size_t i = 0; i < unusable_answers.size(); ++i) {
+    worker.OnAnswer(unusable_answers[i], now);
     EXPECT_FALSE(worker.NextHeartbeat(now + Seconds{0.99}));
     now = now + Seconds{1};
     EXPECT_EQ(worker.NextHeartbeat(now)->node, next[i]);
   }
 }
 
-TEST_F(WorkerTest, DroppedResponseNeitherCommandsNorRenewsTheLease) {
-  Exchange(Ok(5));
+TEST_F(WorkerTest, DroppedResponseExecutesNothingAndRenewsNoLease) {
+  ExchangeHeartbeat(OkAnswer(5));
   const Instant renewed = now;
-  Exchange(Ok(4, {RunOf(T(0))}));
-  Exchange({Answer::Kind::kOk, std::nullopt, std::nullopt, {RunOf(T(1))}});
+  ExchangeHeartbeat(OkAnswer(4, {RunCommand(TaskOf(0))}));
+  ExchangeHeartbeat({Answer::Kind::kOk, std::nullopt, std::nullopt, {RunCommand(TaskOf(1))}});
   EXPECT_TRUE(worker.Inspect().tasks.empty());
   EXPECT_EQ(worker.token().value, 5U);
   worker.CheckLease(renewed + Seconds{30});
   EXPECT_EQ(worker.agent_epoch(), 1U);
   worker.CheckLease(renewed + Seconds{30.1});
-  EXPECT_EQ(worker.agent_epoch(), 2U) << "counted from the last answer that held";
+  EXPECT_EQ(worker.agent_epoch(), 2U) << "counted from the last accepted answer";
 }
 
-// The lease is counted from when the report was sent, however late its answer is.
-TEST_F(WorkerTest, LateResponseRenewsTheLeaseFromItsHeartbeat) {
+// The lease runs from the time the heartbeat was sent, regardless of when the answer arrives.
+TEST_F(WorkerTest, LateResponseRenewsLeaseFromHeartbeatSendTime) {
   ASSERT_TRUE(worker.NextHeartbeat(now));
-  worker.OnAnswer(Ok(1), now + Seconds{3.9});
+  worker.OnAnswer(OkAnswer(1), now + Seconds{3.9});
   worker.CheckLease(now + Seconds{30});
   EXPECT_EQ(worker.agent_epoch(), 1U);
   worker.CheckLease(now + Seconds{30.1});
   EXPECT_EQ(worker.agent_epoch(), 2U);
 }
 
-TEST_F(WorkerTest, ResponseToAnEarlierEpochIsDropped) {
-  Exchange(Ok(1));
+TEST_F(WorkerTest, ResponseToEarlierAgentEpochIsDropped) {
+  ExchangeHeartbeat(OkAnswer(1));
   now = now + Seconds{29};
   ASSERT_TRUE(worker.NextHeartbeat(now));
-  worker.OnAnswer(Ok(9, {RunOf(T(0))}), now + Seconds{2});
+  worker.OnAnswer(OkAnswer(9, {RunCommand(TaskOf(0))}), now + Seconds{2});
   EXPECT_EQ(worker.agent_epoch(), 2U);
   EXPECT_EQ(worker.token().value, 1U);
   EXPECT_TRUE(worker.Inspect().tasks.empty());
 }
 
-// What was killed at the end of a lease may be dying still: were its task started
-// again at once, two of them would live.
-TEST_F(WorkerTest, StartsNothingUntilTheFormerProcessIsDead) {
-  Started(T(0), Job(6));
+// A process killed at the end of a lease may still be alive. Starting its task again at once would
+// run the task twice.
+TEST_F(WorkerTest, StartIsRejectedUntilFormerProcessExits) {
+  StartTask(TaskOf(0), MakeDescription(6));
   now = now + Seconds{31};
   worker.CheckLease(now);
-  EXPECT_EQ(Asked(Kind::kKill), 1);
-  EXPECT_TRUE(worker.Inspect().tasks.empty()) << "killed and forgotten";
-  Exchange(Ok(1, {RunOf(T(0), 2), RunOf(T(1))}));
-  worker.OnDescription({"j-1"}, Job(6));
-  EXPECT_EQ(Cause(T(0), 2), ExitReason::kBusy);
-  EXPECT_EQ(Cause(T(1)), ExitReason::kInsufficientCapacity) << "its room is not free either";
-  worker.OnExit(T(0), {1}, Outcome::kKilled);
-  Exchange(Ok(1, {RunOf(T(0), 3)}));
-  worker.OnDescription({"j-1"}, Job(6));
-  EXPECT_EQ(State(T(0)), std::nullopt);
-  EXPECT_EQ(Seen(T(0), 3)->state, TaskState::kRunning);
+  EXPECT_EQ(TakeEffectCount(Kind::kKill), 1);
+  EXPECT_TRUE(worker.Inspect().tasks.empty()) << "killed tasks are no longer reported";
+  ExchangeHeartbeat(OkAnswer(1, {RunCommand(TaskOf(0), 2), RunCommand(TaskOf(1))}));
+  worker.OnDescription({"j-1"}, MakeDescription(6));
+  EXPECT_EQ(ReasonOf(TaskOf(0), 2), ExitReason::kBusy);
+  EXPECT_EQ(ReasonOf(TaskOf(1)), ExitReason::kInsufficientCapacity)
+      << "the former process still uses its capacity";
+  worker.OnExit(TaskOf(0), {1}, Outcome::kKilled);
+  ExchangeHeartbeat(OkAnswer(1, {RunCommand(TaskOf(0), 3)}));
+  worker.OnDescription({"j-1"}, MakeDescription(6));
+  EXPECT_EQ(StateOf(TaskOf(0)), std::nullopt);
+  EXPECT_EQ(FindStatus(TaskOf(0), 3)->state, TaskState::kRunning);
 }
 
-TEST_F(WorkerTest, RefusesStartsForEachReason) {
-  Started(T(0), Job(6));
-  Exchange(Ok(1, {RunOf(T(0), 2), RunOf(T(1)), RunOf(T(0, "j-9"))}));
-  worker.OnDescription({"j-1"}, Job(6));
+TEST_F(WorkerTest, RejectsStartsForEachReason) {
+  StartTask(TaskOf(0), MakeDescription(6));
+  ExchangeHeartbeat(
+      OkAnswer(1, {RunCommand(TaskOf(0), 2), RunCommand(TaskOf(1)), RunCommand(TaskOf(0, "j-9"))}));
+  worker.OnDescription({"j-1"}, MakeDescription(6));
   worker.OnDescription({"j-9"}, std::nullopt);
-  EXPECT_EQ(Cause(T(0), 2), ExitReason::kBusy);
-  EXPECT_EQ(Cause(T(1)), ExitReason::kInsufficientCapacity);
-  EXPECT_EQ(Cause(T(0, "j-9")), ExitReason::kUnknown);
-  EXPECT_EQ(State(T(0)), TaskState::kRunning) << "undisturbed";
-  EXPECT_EQ(Asked(Kind::kStart), 0);
+  EXPECT_EQ(ReasonOf(TaskOf(0), 2), ExitReason::kBusy);
+  EXPECT_EQ(ReasonOf(TaskOf(1)), ExitReason::kInsufficientCapacity);
+  EXPECT_EQ(ReasonOf(TaskOf(0, "j-9")), ExitReason::kUnknown);
+  EXPECT_EQ(StateOf(TaskOf(0)), TaskState::kRunning) << "the running task is not affected";
+  EXPECT_EQ(TakeEffectCount(Kind::kStart), 0);
 }
 
-TEST_F(WorkerTest, TasksThatFetchTheirImageUseCapacity) {
-  Exchange(Ok(1, {RunOf(T(0)), RunOf(T(1))}));
-  worker.OnDescription({"j-1"}, Job(5));
-  EXPECT_EQ(State(T(0)), TaskState::kFetching);
-  EXPECT_EQ(Cause(T(1)), ExitReason::kInsufficientCapacity);
+TEST_F(WorkerTest, FetchingTasksUseCapacity) {
+  ExchangeHeartbeat(OkAnswer(1, {RunCommand(TaskOf(0)), RunCommand(TaskOf(1))}));
+  worker.OnDescription({"j-1"}, MakeDescription(5));
+  EXPECT_EQ(StateOf(TaskOf(0)), TaskState::kFetching);
+  EXPECT_EQ(ReasonOf(TaskOf(1)), ExitReason::kInsufficientCapacity);
 }
 
-TEST_F(WorkerTest, RepeatedRunStartsNothingUntilItIsForgotten) {
-  Started(T(0));
-  Exchange(Ok(1, {RunOf(T(0))}));
+TEST_F(WorkerTest, RepeatedRunCommandIsIgnoredUntilTaskIsForgotten) {
+  StartTask(TaskOf(0));
+  ExchangeHeartbeat(OkAnswer(1, {RunCommand(TaskOf(0))}));
   EXPECT_TRUE(worker.TakeEffects().empty());
-  Exchange(Ok(1, {ForgetOf(T(0))}));
-  EXPECT_EQ(State(T(0)), TaskState::kRunning) << "only what has exited is forgotten";
-  worker.OnExit(T(0), {1}, Outcome::kFailed);
-  Exchange(Ok(1, {RunOf(T(0))}));
-  EXPECT_EQ(Cause(T(0)), ExitReason::kError) << "exited or not";
-  Exchange(Ok(1, {ForgetOf(T(0)), RunOf(T(0))}));
-  worker.OnDescription({"j-1"}, Job());
-  EXPECT_EQ(State(T(0)), TaskState::kRunning) << "in order: once more";
+  ExchangeHeartbeat(OkAnswer(1, {ForgetCommand(TaskOf(0))}));
+  EXPECT_EQ(StateOf(TaskOf(0)), TaskState::kRunning) << "only ended tasks are forgotten";
+  worker.OnExit(TaskOf(0), {1}, Outcome::kFailed);
+  ExchangeHeartbeat(OkAnswer(1, {RunCommand(TaskOf(0))}));
+  EXPECT_EQ(ReasonOf(TaskOf(0)), ExitReason::kError)
+      << "a repeated run command is ignored after the exit too";
+  ExchangeHeartbeat(OkAnswer(1, {ForgetCommand(TaskOf(0)), RunCommand(TaskOf(0))}));
+  worker.OnDescription({"j-1"}, MakeDescription());
+  EXPECT_EQ(StateOf(TaskOf(0)), TaskState::kRunning) << "forgotten first, then started again";
 }
 
-TEST_F(WorkerTest, ReportsAStopOnlyOnceTheProcessIsDead) {
-  Started(T(0));
-  Exchange(Ok(1, {StopOf(T(0), 10)}));
-  EXPECT_EQ(Asked(Kind::kKill), 1) << "it has no checkpoints";
-  EXPECT_EQ(State(T(0)), TaskState::kRunning);
-  Exchange(Ok(1, {StopOf(T(0), 0)}));
-  EXPECT_EQ(Asked(Kind::kKill), 0) << "once is enough";
-  worker.OnExit(T(0), {1}, Outcome::kKilled);
-  EXPECT_EQ(Cause(T(0)), ExitReason::kStopped);
-  EXPECT_FALSE(Seen(T(0))->saved);
+TEST_F(WorkerTest, ReportsStopOnlyAfterProcessExits) {
+  StartTask(TaskOf(0));
+  ExchangeHeartbeat(OkAnswer(1, {StopCommand(TaskOf(0), 10)}));
+  EXPECT_EQ(TakeEffectCount(Kind::kKill), 1) << "the task has no checkpoints";
+  EXPECT_EQ(StateOf(TaskOf(0)), TaskState::kRunning);
+  ExchangeHeartbeat(OkAnswer(1, {StopCommand(TaskOf(0), 0)}));
+  EXPECT_EQ(TakeEffectCount(Kind::kKill), 0) << "already killed";
+  worker.OnExit(TaskOf(0), {1}, Outcome::kKilled);
+  EXPECT_EQ(ReasonOf(TaskOf(0)), ExitReason::kStopped);
+  EXPECT_FALSE(FindStatus(TaskOf(0))->saved);
 }
 
-TEST_F(WorkerTest, SavesACheckpointInTimeAndEndsAtASecondStop) {
-  JobDescription job = Job();
+TEST_F(WorkerTest, StopSavesWithinGracePeriodAndStopWithoutGraceKills) {
+  JobDescription job = MakeDescription();
   job.checkpoint = {10};
   job.save = {2};
-  Started(T(0), job);
-  Started(T(1), job);
-  Started(T(2), job);
-  Exchange(Ok(1, {StopOf(T(0), 2), StopOf(T(1), 2), StopOf(T(2), 1.9)}));
-  EXPECT_EQ(State(T(0)), TaskState::kSaving);
-  EXPECT_EQ(Asked(Kind::kKill), 1) << "of the one without the time";
-  worker.OnExit(T(0), {1}, Outcome::kSaved);
-  EXPECT_TRUE(Seen(T(0))->saved);
-  Exchange(Ok(1, {StopOf(T(1), 5)}));
-  EXPECT_EQ(Asked(Kind::kKill), 0);
-  Exchange(Ok(1, {StopOf(T(1), 0)}));
-  EXPECT_EQ(Asked(Kind::kKill), 1);
-  worker.OnExit(T(1), {1}, Outcome::kKilled);
-  EXPECT_EQ(Cause(T(1)), ExitReason::kStopped);
-  EXPECT_FALSE(Seen(T(1))->saved);
+  StartTask(TaskOf(0), job);
+  StartTask(TaskOf(1), job);
+  StartTask(TaskOf(2), job);
+  ExchangeHeartbeat(OkAnswer(
+      1, {StopCommand(TaskOf(0), 2), StopCommand(TaskOf(1), 2), StopCommand(TaskOf(2), 1.9)}));
+  EXPECT_EQ(StateOf(TaskOf(0)), TaskState::kSaving);
+  EXPECT_EQ(TakeEffectCount(Kind::kKill), 1) << "only the task with too short a grace period";
+  worker.OnExit(TaskOf(0), {1}, Outcome::kSaved);
+  EXPECT_TRUE(FindStatus(TaskOf(0))->saved);
+  ExchangeHeartbeat(OkAnswer(1, {StopCommand(TaskOf(1), 5)}));
+  EXPECT_EQ(TakeEffectCount(Kind::kKill), 0);
+  ExchangeHeartbeat(OkAnswer(1, {StopCommand(TaskOf(1), 0)}));
+  EXPECT_EQ(TakeEffectCount(Kind::kKill), 1);
+  worker.OnExit(TaskOf(1), {1}, Outcome::kKilled);
+  EXPECT_EQ(ReasonOf(TaskOf(1)), ExitReason::kStopped);
+  EXPECT_FALSE(FindStatus(TaskOf(1))->saved);
 }
 
-TEST_F(WorkerTest, ResultBeforeTheStopCounts) {
-  Started(T(0));
-  Exchange(Ok(1, {StopOf(T(0), 0)}));
-  worker.OnExit(T(0), {1}, Outcome::kDone);
-  EXPECT_EQ(Cause(T(0)), ExitReason::kDone);
+TEST_F(WorkerTest, ResultCountsDespiteStopCommand) {
+  StartTask(TaskOf(0));
+  ExchangeHeartbeat(OkAnswer(1, {StopCommand(TaskOf(0), 0)}));
+  worker.OnExit(TaskOf(0), {1}, Outcome::kDone);
+  EXPECT_EQ(ReasonOf(TaskOf(0)), ExitReason::kDone);
 }
 
-// A result that is kept ends each later start, even one that ended with a lease.
+// Once a task has completed, it is never run again, even if its lease expired before it completed.
 TEST_F(WorkerTest, CompletedTaskIsNotRunAgain) {
-  Started(T(0));
+  StartTask(TaskOf(0));
   now = now + Seconds{31};
   worker.CheckLease(now);
-  worker.OnExit(T(0), {1}, Outcome::kDone);
+  worker.OnExit(TaskOf(0), {1}, Outcome::kDone);
   worker.TakeEffects();
-  Exchange(Ok(1, {RunOf(T(0), 2)}));
-  worker.OnDescription({"j-1"}, Job());
-  EXPECT_EQ(Cause(T(0), 2), ExitReason::kDone);
-  EXPECT_EQ(Asked(Kind::kStart), 0);
+  ExchangeHeartbeat(OkAnswer(1, {RunCommand(TaskOf(0), 2)}));
+  worker.OnDescription({"j-1"}, MakeDescription());
+  EXPECT_EQ(ReasonOf(TaskOf(0), 2), ExitReason::kDone);
+  EXPECT_EQ(TakeEffectCount(Kind::kStart), 0);
 }
 
-TEST_F(WorkerTest, ImageIsFetchedOnceAndAbandonedWithItsLastWaiter) {
-  Exchange(Ok(1, {RunOf(T(0)), RunOf(T(1))}));
-  worker.OnDescription({"j-1"}, Job());
-  EXPECT_EQ(Asked(Kind::kFetch), 1);
-  Exchange(Ok(1, {StopOf(T(0), 0)}));
-  EXPECT_EQ(Cause(T(0)), ExitReason::kStopped);
-  EXPECT_EQ(Asked(Kind::kCancelFetch), 0);
-  Exchange(Ok(1, {StopOf(T(1), 0)}));
-  EXPECT_EQ(Asked(Kind::kCancelFetch), 1);
-  worker.OnImage("img", true);  // it was too late to give it up
-  Exchange(Ok(1, {RunOf(T(2))}));
-  worker.OnDescription({"j-1"}, Job());
-  EXPECT_EQ(Asked(Kind::kFetch), 1) << "once more";
+TEST_F(WorkerTest, ImageIsFetchedOnceAndCancelledWithLastWaitingTask) {
+  ExchangeHeartbeat(OkAnswer(1, {RunCommand(TaskOf(0)), RunCommand(TaskOf(1))}));
+  worker.OnDescription({"j-1"}, MakeDescription());
+  EXPECT_EQ(TakeEffectCount(Kind::kFetch), 1);
+  ExchangeHeartbeat(OkAnswer(1, {StopCommand(TaskOf(0), 0)}));
+  EXPECT_EQ(ReasonOf(TaskOf(0)), ExitReason::kStopped);
+  EXPECT_EQ(TakeEffectCount(Kind::kCancelFetch), 0);
+  ExchangeHeartbeat(OkAnswer(1, {StopCommand(TaskOf(1), 0)}));
+  EXPECT_EQ(TakeEffectCount(Kind::kCancelFetch), 1);
+  worker.OnImage("img", true);  // the fetch completed before the cancellation took effect
+  ExchangeHeartbeat(OkAnswer(1, {RunCommand(TaskOf(2))}));
+  worker.OnDescription({"j-1"}, MakeDescription());
+  EXPECT_EQ(TakeEffectCount(Kind::kFetch), 1) << "fetched again";
   worker.OnImage("img", false);
-  EXPECT_EQ(Cause(T(2)), ExitReason::kError);
+  EXPECT_EQ(ReasonOf(TaskOf(2)), ExitReason::kError);
 }
 
-TEST_F(WorkerTest, EvictsTheLeastRecentlyUsedImageButNoneInUse) {
-  Started(T(0, "j-1"), Job(2, "one"));
-  Started(T(0, "j-2"), Job(2, "two"));
-  Started(T(0, "j-3"), Job(2, "three"));  // 12 of 10 GB, all in use
-  worker.OnExit(T(0, "j-2"), {1}, Outcome::kDone);
-  worker.OnExit(T(0, "j-3"), {1}, Outcome::kDone);
-  Exchange(Ok(1, {RunOf(T(0, "j-4"))}));
-  worker.OnDescription({"j-4"}, Job(2, "four"));
+TEST_F(WorkerTest, EvictsLeastRecentlyUsedImagesThatAreNotInUse) {
+  StartTask(TaskOf(0, "j-1"), MakeDescription(2, "one"));
+  StartTask(TaskOf(0, "j-2"), MakeDescription(2, "two"));
+  StartTask(TaskOf(0, "j-3"), MakeDescription(2, "three"));  // 12 of 10 GB, all in use
+  worker.OnExit(TaskOf(0, "j-2"), {1}, Outcome::kDone);
+  worker.OnExit(TaskOf(0, "j-3"), {1}, Outcome::kDone);
+  ExchangeHeartbeat(OkAnswer(1, {RunCommand(TaskOf(0, "j-4"))}));
+  worker.OnDescription({"j-4"}, MakeDescription(2, "four"));
   std::vector<std::string> dropped;
-  for (const Effect& e : worker.TakeEffects())
-    if (e.kind == Kind::kEvictImage) dropped.push_back(e.image);
+  for (const Effect& effect : worker.TakeEffects())
+    if (effect.kind == Kind::kEvictImage) dropped.push_back(effect.image);
   EXPECT_EQ(dropped, (std::vector<std::string>{"two", "three"}));
 }
 
-TEST_F(WorkerTest, DirectCommandsNeedTokenAndEpochAndRenewNothing) {
-  Exchange(Ok(5));
+TEST_F(WorkerTest, DirectCommandsRequireTokenAndEpochAndRenewNoLease) {
+  ExchangeHeartbeat(OkAnswer(5));
   const Instant renewed = now;
-  EXPECT_EQ(worker.OnDirectCommand({}, 1, {RunOf(T(0))}, now).status, 400);
-  EXPECT_EQ(worker.OnDirectCommand(FencingToken{5}, {}, {RunOf(T(0))}, now).status, 400);
-  EXPECT_EQ(worker.OnDirectCommand(FencingToken{4}, 1, {RunOf(T(0))}, now).status, 409);
-  EXPECT_EQ(worker.OnDirectCommand(FencingToken{5}, 2, {RunOf(T(0))}, now).status, 409);
+  EXPECT_EQ(worker.OnDirectCommand({}, 1, {RunCommand(TaskOf(0))}, now).status, 400);
+  EXPECT_EQ(worker.OnDirectCommand(FencingToken{5}, {}, {RunCommand(TaskOf(0))}, now).status, 400);
+  EXPECT_EQ(worker.OnDirectCommand(FencingToken{4}, 1, {RunCommand(TaskOf(0))}, now).status, 409);
+  EXPECT_EQ(worker.OnDirectCommand(FencingToken{5}, 2, {RunCommand(TaskOf(0))}, now).status, 409);
   EXPECT_TRUE(worker.Inspect().tasks.empty());
   const DirectCommandReply answer =
-      worker.OnDirectCommand(FencingToken{6}, 1, {RunOf(T(0))}, now + Seconds{20});
+      worker.OnDirectCommand(FencingToken{6}, 1, {RunCommand(TaskOf(0))}, now + Seconds{20});
   EXPECT_EQ(answer.status, 200);
   EXPECT_EQ(answer.heartbeat.tasks.size(), 1U);
   EXPECT_EQ(answer.heartbeat.token.value, 6U);
   worker.CheckLease(renewed + Seconds{30.1});
   EXPECT_EQ(worker.agent_epoch(), 2U);
-  EXPECT_EQ(worker.OnDirectCommand(FencingToken{6}, 1, {RunOf(T(1))}, now).status, 409)
-      << "it came late";
+  EXPECT_EQ(worker.OnDirectCommand(FencingToken{6}, 1, {RunCommand(TaskOf(1))}, now).status, 409)
+      << "the command arrived after its agent epoch ended";
 }
 
-// Two nodes that contend for the lead would have all workers report all the time.
-TEST_F(WorkerTest, HigherTokenIsAChangeOncePerHalfALease) {
-  Exchange(Ok(1));
-  Exchange(Ok(1));  // tells the first one
+// Controllers that compete for the leadership must not make all workers send heartbeats
+// continuously.
+TEST_F(WorkerTest, HigherTokenTriggersHeartbeatOncePerHalfLease) {
+  ExchangeHeartbeat(OkAnswer(1));
+  ExchangeHeartbeat(OkAnswer(1));  // reports token 1
   worker.OnDirectCommand(FencingToken{2}, 1, {}, now);
-  EXPECT_GT(worker.NextWakeup(), now + Seconds{0.5}) << "token 1 was told just now";
+  EXPECT_GT(worker.NextWakeup(), now + Seconds{0.5}) << "token 1 was reported just now";
   worker.OnDirectCommand(FencingToken{3}, 1, {}, now + Seconds{15});
   EXPECT_EQ(worker.NextWakeup(), now + Seconds{0.5});
 }
--- a/tests/codec_test.cc
+++ b/tests/codec_test.cc
@@ -1,4 +1,4 @@
-// What comes over the wire is checked; bad input gets the protocol's answer.
+// Tests of message validation, HTTP server and client, and the concurrency limiter.
 #include "protocol/codec.h"
 
 #include <gtest/gtest.h>
@@ -23,7 +23,7 @@
     "roost":null,"together":true,"apart":false,"borrowed_branches":true,"flight_s":240.0,
     "cache_every_s":30.0,"stash_s":4.0,"dusk_s":900.0,"new_field":{"any":[1]}})";
 
-TEST(CodecTest, JobRoundTripsThroughItsRecord) {
+TEST(CodecTest, JobRoundTripsThroughRecord) {
   JobSpec spec = protocol::JobFromUser(protocol::ParseObject(kJob));
   EXPECT_EQ(spec.priority, Priority::kHigh);
   EXPECT_EQ(spec.tasks, 16U);
@@ -35,65 +35,67 @@
 
 class SubmissionValidationTest : public ClusterTest {};
 
-TEST_F(SubmissionValidationTest, MalformedSubmissionsChangeNothing) {
+TEST_F(SubmissionValidationTest, MalformedSubmissionsAreRejectedWithoutWrites) {
   TestController& node = AddController("n0");
   const Revision before = store.current_revision();
   for (const char* body : {"", "x", "[]", "null", "{}", "{\"id\":", "\xff\xfe"})
     EXPECT_EQ(node.api.Submit(body).status, 400) << body;
   EXPECT_EQ(node.api.Submit(std::string(60000, '[')).status, 400);
-  const Json good = Json::parse(kJob);
-  const std::vector<std::pair<const char*, Json>> wrong{{"id", 7},
-                                                        {"id", "x-1"},
-                                                        {"id", "j-"},
-                                                        {"id", "j-1/../x"},
-                                                        {"gait", "gang"},
-                                                        {"rank", "huge"},
-                                                        {"pecks", 0},
-                                                        {"pecks", -1},
-                                                        {"pecks", 100001},
-                                                        {"pecks", 1.5},
-                                                        {"pecks", "3"},
-                                                        {"cpus", -1},
-                                                        {"cpus", 1e300},
-                                                        {"cpus", true},
-                                                        {"ram_gb", "4"},
-                                                        {"perches", "small"},
-                                                        {"perches", {1}},
-                                                        {"roost", 5},
-                                                        {"together", 1},
-                                                        {"flight_s", -0.1},
-                                                        {"dusk_s", "soon"},
-                                                        {"nest", nullptr},
-                                                        {"plumage", Json::array()}};
-  for (const auto& [field, value] : wrong) {
-    Json body = good;
+  const Json valid = Json::parse(kJob);
+  const std::vector<std::pair<const char*, Json>> invalid_fields{{"id", 7},
+                                                                 {"id", "x-1"},
+                                                                 {"id", "j-"},
+                                                                 {"id", "j-1/../x"},
+                                                                 {"gait", "gang"},
+                                                                 {"rank", "huge"},
+                                                                 {"pecks", 0},
+                                                                 {"pecks", -1},
+                                                                 {"pecks", 100001},
+                                                                 {"pecks", 1.5},
+                                                                 {"pecks", "3"},
+                                                                 {"cpus", -1},
+                                                                 {"cpus", 1e300},
+                                                                 {"cpus", true},
+                                                                 {"ram_gb", "4"},
+                                                                 {"perches", "small"},
+                                                                 {"perches", {1}},
+                                                                 {"roost", 5},
+                                                                 {"together", 1},
+                                                                 {"flight_s", -0.1},
+                                                                 {"dusk_s", "soon"},
+                                                                 {"nest", nullptr},
+                                                                 {"plumage", Json::array()}};
+  for (const auto& [field, value] : invalid_fields) {
+    Json body = valid;
     body[field] = value;
     EXPECT_EQ(node.api.Submit(body.dump()).status, 400) << field << " " << value;
   }
   for (const char* field : {"id", "flock", "nest", "pecks", "cpus", "apart", "stash_s"}) {
-    Json body = good;
+    Json body = valid;
     body.erase(field);
     EXPECT_EQ(node.api.Submit(body.dump()).status, 400) << field;
   }
   EXPECT_EQ(store.current_revision(), before);
 }
 
-TEST_F(SubmissionValidationTest, JobsThatCanNeverRunAreRejected) {
+TEST_F(SubmissionValidationTest, UnsatisfiableJobsAreRejected) {
   TestController& node = AddController("n0");
   auto status = [&](auto change) {
     JobSpec spec = MakeJob("j-9");
     change(spec);
     return Submit(node, spec);
   };
-  EXPECT_EQ(status([](JobSpec& s) { s.team = "green"; }), 422);
-  EXPECT_EQ(status([](JobSpec& s) { s.per_task.cpus = 17; }), 422);
-  EXPECT_EQ(status([](JobSpec& s) { s.per_task.gpus = 1; }), 422);
-  EXPECT_EQ(status([](JobSpec& s) { s.zone = "c"; }), 422);
-  EXPECT_EQ(status([](JobSpec& s) { s.types = {{"huge"}}; }), 422);
-  EXPECT_EQ(status([](JobSpec& s) { s.team = "blue", s.per_task.cpus = 7; }), 422);
-  EXPECT_EQ(status([](JobSpec& s) { s.team = "blue", s.kind = JobKind::kService, s.tasks = 4; }),
+  EXPECT_EQ(status([](JobSpec& spec) { spec.team = "green"; }), 422);
+  EXPECT_EQ(status([](JobSpec& spec) { spec.per_task.cpus = 17; }), 422);
+  EXPECT_EQ(status([](JobSpec& spec) { spec.per_task.gpus = 1; }), 422);
+  EXPECT_EQ(status([](JobSpec& spec) { spec.zone = "c"; }), 422);
+  EXPECT_EQ(status([](JobSpec& spec) { spec.types = {{"huge"}}; }), 422);
+  EXPECT_EQ(status([](JobSpec& spec) { spec.team = "blue", spec.per_task.cpus = 7; }), 422);
+  EXPECT_EQ(status([](JobSpec& spec) {
+              spec.team = "blue", spec.kind = JobKind::kService, spec.tasks = 4;
+            }),
             422);
-  EXPECT_EQ(status([](JobSpec& s) { s.team = "blue", s.tasks = 4; }), 201);
+  EXPECT_EQ(status([](JobSpec& spec) { spec.team = "blue", spec.tasks = 4; }), 201);
 }
 
 TEST(CodecTest, MalformedInputIsRejected) {
@@ -113,10 +115,11 @@
                protocol::InvalidMessage);
 }
 
-TEST(HttpServerTest, KeepsConnectionsAndRefusesLongBodies) {
+TEST(HttpServerTest, KeepsConnectionsOpenAndRejectsLongBodies) {
   HttpServer server(
-      [](const HttpRequest& r) {
-        return HttpResponse{r.path == "/no" ? 404 : 200, r.method + r.path + r.body, false};
+      [](const HttpRequest& request) {
+        return HttpResponse{request.path == "/no" ? 404 : 200,
+                            request.method + request.path + request.body, false};
       },
       {});
   ASSERT_TRUE(server.Start({"127.0.0.1", 0}));
@@ -125,7 +128,7 @@
   EXPECT_EQ(client.Post("/x", "{}").body, "POST/x{}");
   EXPECT_EQ(client.Get("/no").status, 404);
   EXPECT_EQ(client.Post("/x", std::string(70000, 'x')).status, 400);
-  EXPECT_EQ(client.Post("/x", "again").body, "POST/xagain") << "on the same connection";
+  EXPECT_EQ(client.Post("/x", "again").body, "POST/xagain") << "the connection is reused";
   httplib::Client raw("127.0.0.1", server.port());
   auto chunks = [](std::size_t, httplib::DataSink& sink) {
     sink.os << std::string(90000, 'x');
@@ -134,12 +137,12 @@
   };
   const auto chunked = raw.Post("/x", chunks, "text/plain");
   ASSERT_TRUE(chunked);
-  EXPECT_EQ(chunked->status, 400) << "chunked bodies have the same limit";
+  EXPECT_EQ(chunked->status, 400) << "the limit applies to chunked bodies too";
   server.Shutdown();
   EXPECT_FALSE(client.Get("/a").answered);
 }
 
-// A raw connection to a server in this process.
+// Opens a raw connection to a server in this process; returns -1 on failure.
 int ConnectTo(int port) {
   const int socket = ::socket(AF_INET, SOCK_STREAM, 0);
   sockaddr_in addr{};
@@ -151,42 +154,45 @@
   return -1;
 }
 
-// Connections that say nothing cost a socket each and no thread, and beyond the
-// limit the longest silent one makes room.
-TEST(HttpServerTest, SilentConnectionsDoNotStarveOthers) {
+// Idle connections occupy a socket each but no thread. At the connection limit the server closes
+// the one that has been idle longest.
+TEST(HttpServerTest, IdleConnectionsDoNotBlockOthers) {
   HttpServer server([](const HttpRequest&) { return HttpResponse{200, "here", false}; },
                     {.connections = 8, .threads = 2});
   ASSERT_TRUE(server.Start({"127.0.0.1", 0}));
-  std::vector<int> heartbeat_timeout;
-  for (int i = 0; i < 20; ++i) heartbeat_timeout.push_back(ConnectTo(server.port()));
+  std::vector<int> idle_sockets;
+  for (int i = 0; i < 20; ++i) idle_sockets.push_back(ConnectTo(server.port()));
   HttpClient client({"127.0.0.1", server.port()}, {1}, {5}, 1);
   EXPECT_EQ(client.Get("/a").body, "here");
   char byte = 0;
-  EXPECT_EQ(recv(heartbeat_timeout.front(), &byte, 1, 0), 0) << "the first one was closed";
-  for (const int socket : heartbeat_timeout) close(socket);
+  EXPECT_EQ(recv(idle_sockets.front(), &byte, 1, 0), 0) << "the connection idle longest was closed";
+  for (const int socket : idle_sockets) close(socket);
 }
 
-// Requests that do not come whole hold a bounded number of bytes, together.
-TEST(HttpServerTest, UnfinishedRequestsTakeBoundedMemory) {
-  HttpServer server([](const HttpRequest& r) { return HttpResponse{200, r.body, false}; },
-                    {.threads = 8, .pending_bytes = 3 * 4096});
+// All incomplete requests together use a bounded amount of memory.
+TEST(HttpServerTest, IncompleteRequestsUseBoundedMemory) {
+  HttpServer server(
+      [](const HttpRequest& request) { return HttpResponse{200, request.body, false}; },
+      {.threads = 8, .pending_bytes = 3 * 4096});
   ASSERT_TRUE(server.Start({"127.0.0.1", 0}));
   const std::string head = "POST /x HTTP/1.1\r\nContent-Length: 60000\r\n\r\n";
-  std::vector<int> slow;
+  std::vector<int> slow_sockets;
   for (int i = 0; i < 4; ++i) {
-    slow.push_back(ConnectTo(server.port()));
-    const std::string part = head + std::string(20000, 'x');
-    ASSERT_EQ(send(slow.back(), part.data(), part.size(), 0), static_cast<ssize_t>(part.size()));
+    slow_sockets.push_back(ConnectTo(server.port()));
+    const std::string incomplete_request = head + std::string(20000, 'x');
+    ASSERT_EQ(send(slow_sockets.back(), incomplete_request.data(), incomplete_request.size(), 0),
+              static_cast<ssize_t>(incomplete_request.size()));
   }
   char byte = 0;
-  for (const int socket : slow) EXPECT_LE(recv(socket, &byte, 1, 0), 0) << "closed unanswered";
+  for (const int socket : slow_sockets)
+    EXPECT_LE(recv(socket, &byte, 1, 0), 0) << "closed without a response";
   HttpClient client({"127.0.0.1", server.port()}, {1}, {5}, 1);
-  EXPECT_EQ(client.Post("/x", "small").body, "small") << "others go on";
-  for (const int socket : slow) close(socket);
+  EXPECT_EQ(client.Post("/x", "small").body, "small") << "other requests are still served";
+  for (const int socket : slow_sockets) close(socket);
 }
 
-// In a flood, polls give way before submissions, and reports are not counted.
-TEST(ConcurrencyLimiterTest, PollsAreRefusedFirst) {
+// Under overload, polls are rejected before submissions. Heartbeats do not count.
+TEST(ConcurrencyLimiterTest, PollsAreRejectedBeforeChanges) {
   ConcurrencyLimiter users({.max_requests = 2, .max_requests_for_poll = 1});
   const RequestPermit first(users);
   EXPECT_TRUE(first.Admits(RequestKind::kPoll));
@@ -196,11 +202,11 @@
     EXPECT_TRUE(second.Admits(RequestKind::kChange));
     EXPECT_FALSE(RequestPermit(users).Admits(RequestKind::kChange));
   }
-  EXPECT_TRUE(RequestPermit(users).Admits(RequestKind::kChange)) << "the place is free again";
+  EXPECT_TRUE(RequestPermit(users).Admits(RequestKind::kChange)) << "the permit was returned";
 }
 
-// A listening socket on a free port of the loopback, and its address.
-void Listen(int& listener, sockaddr_in& addr) {
+// Opens a listening socket on a free loopback port and sets `addr` to its address.
+void OpenListener(int& listener, sockaddr_in& addr) {
   listener = ::socket(AF_INET, SOCK_STREAM, 0);
   addr.sin_family = AF_INET;
   addr.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
@@ -210,20 +216,20 @@
   getsockname(listener, reinterpret_cast<sockaddr*>(&addr), &size);
 }
 
-// Each system call and packet is paid for: a small request is one packet, head
-// and body, and its connection serves the next one.
-TEST(HttpClientTest, RequestIsOneSendOverAReusedConnection) {
+// Guards against extra system calls and packets: a small request is sent, head and body, in one
+// packet, and its connection is reused for the next request.
+TEST(HttpClientTest, RequestIsSingleSendOverReusedConnection) {
   int listener = -1;
   sockaddr_in addr{};
-  ASSERT_NO_FATAL_FAILURE(Listen(listener, addr));
-  std::vector<std::string> got;
+  ASSERT_NO_FATAL_FAILURE(OpenListener(listener, addr));
+  std::vector<std::string> received;
   std::thread peer([&] {
     const int socket = accept(listener, nullptr, nullptr);
     const std::string answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}";
     for (int i = 0; i < 3; ++i) {
       std::array<char, 4096> buffer{};
-      const ssize_t n = recv(socket, buffer.data(), buffer.size(), 0);
-      got.emplace_back(buffer.data(), static_cast<std::size_t>(std::max<ssize_t>(n, 0)));
+      const ssize_t count = recv(socket, buffer.data(), buffer.size(), 0);
+      received.emplace_back(buffer.data(), static_cast<std::size_t>(std::max<ssize_t>(count, 0)));
       send(socket, answer.data(), answer.size(), MSG_NOSIGNAL);
     }
     close(socket);
@@ -235,43 +241,46 @@
     EXPECT_EQ(answer.body, "{}");
   }
   peer.join();
-  ASSERT_EQ(got.size(), 3U);
-  for (const std::string& request : got) EXPECT_TRUE(request.ends_with(R"({"n":1})")) << request;
+  ASSERT_EQ(received.size(), 3U);
+  for (const std::string& request : received)
+    EXPECT_TRUE(request.ends_with(R"({"n":1})")) << request;
   close(listener);
-  const HttpAnswer refused = client.Post("/x", "{}");
-  EXPECT_FALSE(refused.answered) << "the other side has closed";
+  const HttpAnswer failed_answer = client.Post("/x", "{}");
+  EXPECT_FALSE(failed_answer.answered) << "the server has closed the connection";
 }
 
-TEST(HttpClientTest, DistinguishesRequestsThatWereNeverSent) {
-  HttpServer gone([](const HttpRequest&) { return HttpResponse{}; }, {});
-  ASSERT_TRUE(gone.Start({"127.0.0.1", 0}));
-  const int port = gone.port();
-  gone.Shutdown();
+TEST(HttpClientTest, DistinguishesRequestsNeverSent) {
+  HttpServer stopped_server([](const HttpRequest&) { return HttpResponse{}; }, {});
+  ASSERT_TRUE(stopped_server.Start({"127.0.0.1", 0}));
+  const int port = stopped_server.port();
+  stopped_server.Shutdown();
   HttpClient client({"127.0.0.1", port}, {1}, {1}, 1);
-  const HttpAnswer refused = client.Post("/do", "{}");
-  EXPECT_FALSE(refused.sent);
-  EXPECT_FALSE(refused.timed_out) << "nobody is there, and that was said at once";
+  const HttpAnswer failed_answer = client.Post("/do", "{}");
+  EXPECT_FALSE(failed_answer.sent);
+  EXPECT_FALSE(failed_answer.timed_out) << "the connection is refused at once";
 }
 
-// A lease is kept without the leader when it is silent, as over a cut, not when it ended.
+// A follower renews leases without the leader only after a timeout, as in a network partition, and
+// not after the leader's process has ended and closed its connections.
 TEST(HttpClientTest, DistinguishesTimeoutFromClosedConnection) {
   int listener = -1;
   sockaddr_in addr{};
-  ASSERT_NO_FATAL_FAILURE(Listen(listener, addr));
+  ASSERT_NO_FATAL_FAILURE(OpenListener(listener, addr));
   HttpClient client({"127.0.0.1", ntohs(addr.sin_port)}, Seconds{1}, Seconds{0.05}, 2);
-  const HttpAnswer heartbeat_timeout = client.Post("/x", "{}");
-  EXPECT_TRUE(heartbeat_timeout.sent);
-  EXPECT_FALSE(heartbeat_timeout.answered);
-  EXPECT_TRUE(heartbeat_timeout.timed_out);
+  const HttpAnswer timeout_answer = client.Post("/x", "{}");
+  EXPECT_TRUE(timeout_answer.sent);
+  EXPECT_FALSE(timeout_answer.answered);
+  EXPECT_TRUE(timeout_answer.timed_out);
   std::thread peer([&] {
-    close(accept(listener, nullptr, nullptr));  // the one that timed out
+    close(accept(listener, nullptr, nullptr));  // the connection that timed out
     const int socket = accept(listener, nullptr, nullptr);
     char byte = 0;
     recv(socket, &byte, 1, 0);
     close(socket);
   });
-  HttpClient patient({"127.0.0.1", ntohs(addr.sin_port)}, Seconds{5}, Seconds{5}, 2);
-  const HttpAnswer closed = patient.Post("/x", "{}");
+  HttpClient client_with_long_timeout({"127.0.0.1", ntohs(addr.sin_port)}, Seconds{5}, Seconds{5},
+                                      2);
+  const HttpAnswer closed = client_with_long_timeout.Post("/x", "{}");
   peer.join();
   EXPECT_FALSE(closed.answered);
   EXPECT_FALSE(closed.timed_out);
--- a/tests/fake_worker.h
+++ b/tests/fake_worker.h
@@ -1,5 +1,5 @@
-// A worker in memory: tokens, sessions, attempts and commands as the protocol
-// has them. Tasks end when the test says so.
+// An in-memory worker that handles tokens, agent epochs, attempts and commands according to the
+// protocol. Tasks end when the test ends them.
 #pragma once
 
 #include <map>
@@ -26,28 +26,28 @@
   }
 
   MachineId id() const { return heartbeat_.machine; }
-  std::map<TaskId, int> starts;  // how often each task began here
+  std::map<TaskId, int> starts;  // number of starts of each task on this worker
 
   Heartbeat Snapshot() {
     ++heartbeat_.sequence;
     return heartbeat_;
   }
 
-  // The response to a report; dropped when its token is too low.
+  // Delivers the response to a heartbeat. Returns false if it is dropped.
   bool Deliver(const HeartbeatResponse& reply) {
     if (!reply.accepted || reply.token < heartbeat_.token) return false;
     heartbeat_.token = reply.token;
-    for (const Command& c : reply.commands) Execute(c);
+    for (const Command& command : reply.commands) Execute(command);
     return true;
   }
 
-  // A direct command; it may arrive late.
+  // Delivers a direct command, which may arrive late. Returns false if it is rejected.
   bool Take(const DirectCommand& direct_command) {
     if (direct_command.token < heartbeat_.token ||
         direct_command.agent_epoch != heartbeat_.agent_epoch)
       return false;
     heartbeat_.token = direct_command.token;
-    for (const Command& c : direct_command.commands) Execute(c);
+    for (const Command& command : direct_command.commands) Execute(command);
     return true;
   }
 
@@ -56,43 +56,44 @@
     heartbeat_.tasks.clear();
   }
 
-  // The machine goes and is back at once under its name. `forgets`: with its tasks its
-  // numbers and its token are lost too.
-  void Restart(bool forgets) {
+  // Restarts the machine under the same name and loses its tasks. `loses_state`: also resets the
+  // agent epoch, the sequence number and the token.
+  void Restart(bool loses_state) {
     heartbeat_.tasks.clear();
-    if (!forgets) return;
+    if (!loses_state) return;
     heartbeat_.agent_epoch = 1;
     heartbeat_.sequence = 0;
     heartbeat_.token = {};
   }
 
-  void SetPreemptionNotice(Seconds left) { heartbeat_.preemption_notice = left; }
+  void SetPreemptionNotice(Seconds remaining) { heartbeat_.preemption_notice = remaining; }
   void ClearPreemptionNotice() { heartbeat_.preemption_notice.reset(); }
 
   void End(const TaskId& task, ExitReason reason) {
-    for (TaskStatus& t : heartbeat_.tasks)
-      if (t.task == task && t.state != TaskState::kEnded) {
-        t.state = TaskState::kEnded;
-        t.reason = reason;
+    for (TaskStatus& status : heartbeat_.tasks)
+      if (status.task == task && status.state != TaskState::kEnded) {
+        status.state = TaskState::kEnded;
+        status.reason = reason;
       }
   }
   void EndAll(ExitReason reason) {
-    for (TaskStatus& t : heartbeat_.tasks)
-      if (t.state != TaskState::kEnded) {
-        t.state = TaskState::kEnded;
-        t.reason = reason;
+    for (TaskStatus& status : heartbeat_.tasks)
+      if (status.state != TaskState::kEnded) {
+        status.state = TaskState::kEnded;
+        status.reason = reason;
       }
   }
 
   bool HasLiveTask(const TaskId& task) const {
-    for (const TaskStatus& t : heartbeat_.tasks)
-      if (t.task == task && t.state != TaskState::kEnded) return true;
+    for (const TaskStatus& status : heartbeat_.tasks)
+      if (status.task == task && status.state != TaskState::kEnded) return true;
     return false;
   }
   std::size_t LiveTaskCount() const {
-    std::size_t n = 0;
-    for (const TaskStatus& t : heartbeat_.tasks) n += t.state != TaskState::kEnded ? 1 : 0;
-    return n;
+    std::size_t count = 0;
+    for (const TaskStatus& status : heartbeat_.tasks)
+      count += status.state != TaskState::kEnded ? 1 : 0;
+    return count;
   }
   std::size_t ReportedTaskCount() const { return heartbeat_.tasks.size(); }
   const std::vector<TaskStatus>& tasks() const { return heartbeat_.tasks; }
@@ -101,22 +102,25 @@
   FencingToken token() const { return heartbeat_.token; }
 
  private:
-  void Execute(const Command& c) {
-    auto it = heartbeat_.tasks.begin();
-    while (it != heartbeat_.tasks.end() && (it->task != c.task || it->attempt != c.attempt)) ++it;
-    const bool known = it != heartbeat_.tasks.end();
-    if (c.kind == CommandKind::kRun && !known && HasLiveTask(c.task)) {
-      // Refused: it is here with another attempt.
-      heartbeat_.tasks.push_back({c.task, c.attempt, TaskState::kEnded, ExitReason::kBusy, false});
-    } else if (c.kind == CommandKind::kRun && !known) {
+  void Execute(const Command& command) {
+    auto found = heartbeat_.tasks.begin();
+    while (found != heartbeat_.tasks.end() &&
+           (found->task != command.task || found->attempt != command.attempt))
+      ++found;
+    const bool known = found != heartbeat_.tasks.end();
+    if (command.kind == CommandKind::kRun && !known && HasLiveTask(command.task)) {
+      // Rejected: another attempt of the task is on this machine.
       heartbeat_.tasks.push_back(
-          {c.task, c.attempt, TaskState::kRunning, ExitReason::kNone, false});
-      ++starts[c.task];
-    } else if (c.kind == CommandKind::kStop && known && it->state != TaskState::kEnded) {
-      it->state = TaskState::kEnded;
-      it->reason = ExitReason::kStopped;
-    } else if (c.kind == CommandKind::kForget && known && it->state == TaskState::kEnded) {
-      heartbeat_.tasks.erase(it);
+          {command.task, command.attempt, TaskState::kEnded, ExitReason::kBusy, false});
+    } else if (command.kind == CommandKind::kRun && !known) {
+      heartbeat_.tasks.push_back(
+          {command.task, command.attempt, TaskState::kRunning, ExitReason::kNone, false});
+      ++starts[command.task];
+    } else if (command.kind == CommandKind::kStop && known && found->state != TaskState::kEnded) {
+      found->state = TaskState::kEnded;
+      found->reason = ExitReason::kStopped;
+    } else if (command.kind == CommandKind::kForget && known && found->state == TaskState::kEnded) {
+      heartbeat_.tasks.erase(found);
     }
   }
 
