--- a/src/agent/worker.cc
+++ b/src/agent/worker.cc
@@ -183,10 +183,10 @@
   const AttemptKey key{command.task, command.attempt};
   if (runs_.contains(key)) return;  // a repeated command changes nothing, whatever the state
   const auto occupies_task = [&](const auto& entry) {
-    const bool refused = entry.second.reason == ExitReason::kInsufficientCapacity ||
-                         entry.second.reason == ExitReason::kBusy ||
-                         entry.second.reason == ExitReason::kUnknown;
-    return entry.first.task == command.task && !refused;
+    const bool rejected = entry.second.reason == ExitReason::kInsufficientCapacity ||
+                          entry.second.reason == ExitReason::kBusy ||
+                          entry.second.reason == ExitReason::kUnknown;
+    return entry.first.task == command.task && !rejected;
   };
   const bool busy = std::any_of(runs_.begin(), runs_.end(), occupies_task) ||
                     std::any_of(terminating_.begin(), terminating_.end(), occupies_task);
@@ -311,8 +311,8 @@
       CancelUnusedFetch(run.description.image);
       break;
     case RunState::kRunning:
-      if (run.description.checkpoint.value > 0 &&
-          command.termination_grace_period >= run.description.save) {
+      if (run.description.checkpoint_interval.value > 0 &&
+          command.termination_grace_period >= run.description.save_duration) {
         run.state = RunState::kSaving;
         run.save_requested = true;
         AddEffect(Effect::Kind::kSave, it->first);
--- a/src/agent/worker.h
+++ b/src/agent/worker.h
@@ -25,8 +25,8 @@
   Resources per_task;
   std::string image;
   double image_gb = 0;
-  Seconds checkpoint;  // 0: the tasks write no checkpoints
-  Seconds save;        // time to save a task's progress
+  Seconds checkpoint_interval;  // 0: tasks never save their progress
+  Seconds save_duration;        // time to save a task's progress
 };
 
 // How a task's process ended.
--- a/tests/agent_test.cc
+++ b/tests/agent_test.cc
@@ -224,8 +224,8 @@
 
 TEST_F(WorkerTest, StopSavesWithinGracePeriodAndStopWithoutGraceKills) {
   JobDescription job = MakeDescription();
-  job.checkpoint = {10};
-  job.save = {2};
+  job.checkpoint_interval = {10};
+  job.save_duration = {2};
   StartTask(TaskOf(0), job);
   StartTask(TaskOf(1), job);
   StartTask(TaskOf(2), job);
