--- a/src/agent/worker.cc
+++ b/src/agent/worker.cc
@@ -5,10 +5,10 @@
 
 namespace magpie::agent {
 namespace {
-constexpr Seconds kMinHeartbeatGap{0.5};   // between two heartbeats
-constexpr Seconds kNextNodeDelay{1};       // before trying another controller
-constexpr Seconds kMaxRedirectDelay{0.5};  // before following a redirect
-constexpr double kHeartbeatJitter = 0.25;  // fraction of the interval, in either direction
+constexpr Seconds kMinHeartbeatGap{0.5};    // between two heartbeats
+constexpr Seconds kNextControllerDelay{1};  // before trying another controller
+constexpr Seconds kMaxRedirectDelay{0.5};   // before following a redirect
+constexpr double kHeartbeatJitter = 0.25;   // fraction of the interval, in either direction
 constexpr int kOk = 200;
 constexpr int kBadRequest = 400;
 constexpr int kConflict = 409;
@@ -83,7 +83,7 @@
   CheckLease(now);
   schedule_.in_flight = false;
   if (answer.kind == Answer::Kind::kFailed) {
-    TryNextNode(now);
+    TryNextController(now);
     return;
   }
   if (answer.kind == Answer::Kind::kRedirected) {
@@ -106,7 +106,7 @@
       destination ? std::find(nodes.begin(), nodes.end(), *destination) : nodes.end();
   const auto node = static_cast<std::size_t>(found - nodes.begin());
   if (node == nodes.size() || node == schedule_.node) {
-    TryNextNode(now);
+    TryNextController(now);
     return;
   }
   schedule_.node = node;
@@ -114,9 +114,9 @@
   schedule_.not_before = std::max(schedule_.not_before, schedule_.due);
 }
 
-void Worker::TryNextNode(Instant now) {
+void Worker::TryNextController(Instant now) {
   schedule_.node = (schedule_.node + 1) % options_.nodes.size();
-  schedule_.due = now + kNextNodeDelay;
+  schedule_.due = now + kNextControllerDelay;
   schedule_.not_before = schedule_.due;
 }
 
--- a/src/agent/worker.h
+++ b/src/agent/worker.h
@@ -174,7 +174,7 @@
   void ForgetTask(const Command& command);
   void ObserveToken(FencingToken token, Instant now);
   void FollowRedirect(const std::optional<std::string>& destination, Instant now);
-  void TryNextNode(Instant now);
+  void TryNextController(Instant now);
   void AddEffect(Effect::Kind kind, const AttemptKey& key);
   void AddImageEffect(Effect::Kind kind, const std::string& image);
   void EndTask(TaskRun& run, ExitReason reason, bool saved = false);
