--- a/src/scheduling/cloud_coordinator.cc
+++ b/src/scheduling/cloud_coordinator.cc
@@ -93,7 +93,7 @@
 
 void CloudCoordinator::OnProvisioningUnknown(const CloudCall& call) {
   if (!IsFromThisTerm(call)) return;
-  scale_outs_.push_back(call);  // the same name brings the same machines
+  scale_outs_.push_back(call);  // the retry has the same name, so it provisions no further machines
 }
 
 void CloudCoordinator::OnReleased(const CloudCall& call, Instant now) {
@@ -106,17 +106,17 @@
     if (state_.machines.Find(id) != nullptr) pending_releases_.insert(id);
 }
 
-// The cloud has confirmed that the machine is gone, so nothing of it runs or can start.
+// Called once the cloud has confirmed the release: no task runs or can start on the machine.
 void CloudCoordinator::RemoveMachine(const MachineId& id, Instant now) {
   state_.machines.RememberReleased(id);
   state_.failure_attribution.Forget(id);
   Machine* machine = state_.machines.Find(id);
   if (machine == nullptr) return;
-  if (machine->in_records) --state_.reconciliation.unreconciled;
+  if (machine->awaiting_reconciliation) --state_.reconciliation.unreconciled;
   const std::vector<HeldTask> tasks = machine->tasks;
   for (const HeldTask& held : tasks) {
     lifecycle_.FinishAttempt(*held.job, held.index, now);
-    // A task that has ended stays with its machine until that is durable; this one is lost.
+    // An ended task stays on its machine until its end is durable; the machine no longer exists.
     if (held.task().machine != nullptr) lifecycle_.Unbind(*held.job, held.index, now);
   }
   pending_releases_.erase(id);
--- a/src/scheduling/cloud_coordinator.h
+++ b/src/scheduling/cloud_coordinator.h
@@ -1,9 +1,9 @@
-// The calls to the cloud: scale-outs, releases and the list of machines.
+// The leader's calls to the cloud: provisioning, releases and machine lists.
 //
-// Invariant: a scale-out keeps its name until the cloud has answered it, so that asking again for
-// an answer that was lost brings the same machines. A machine is removed from the tables only once
-// the cloud has confirmed its release: until then, what runs there may go on. At most one list is
-// asked for at a time.
+// Invariant: a provisioning request is retried under the same name until the cloud answers it, so a
+// lost answer provisions no second set of machines. A machine is removed from the tables only after
+// the cloud confirms its release: its tasks may run until then. At most one list request is open at
+// a time.
 #pragma once
 
 #include <cstdint>
@@ -22,28 +22,28 @@
 
 namespace magpie {
 
-// Decides on calls to the cloud and applies their answers. Not thread-safe: it belongs to one
-// scheduler.
+// Decides on calls to the cloud and applies their results. Not thread-safe: used by one scheduler.
 class CloudCoordinator {
  public:
-  // Both must outlive this object.
+  // Both arguments must outlive this object.
   CloudCoordinator(ClusterState& state, TaskLifecycle& lifecycle)
       : state_(state), lifecycle_(lifecycle) {}
 
-  // A term of leadership begins. Names of scale-outs start with the prefix, which no other term
-  // uses.
+  // Begins a term of leadership. `request_prefix` starts the names of the term's provisioning
+  // requests and must be unique to the term.
   void Start(std::string request_prefix, Instant now);
   void Clear();
 
-  // Whether machines may be asked for now: the cloud's list is known and no answer is due.
+  // Whether machines may be provisioned now: a machine list was received, no provisioning request
+  // is unanswered and the delay set by DelayScaleOut is over.
   bool MayScaleOut(Instant now) const;
   bool HasPendingScaleOuts() const { return !pending_scale_outs_.empty(); }
   void ScaleOut(const MachineKind& kind, std::uint32_t count);
   void DelayScaleOut(Instant until) { next_scale_out_ = until; }
-  // The machine goes back to the cloud; nothing more is put there.
+  // Queues the machine for release; no more tasks are placed on it.
   void Release(Machine& machine);
 
-  // The next call to make. Each is answered by one of the functions below.
+  // Returns the next call to make. Its result is passed to one of the functions below.
   std::optional<CloudCall> NextCall(Instant now);
   void OnProvisioned(const CloudCall& call, const std::vector<MachineId>& machines, Instant now);
   void OnProvisioningRefused(const CloudCall& call, Instant now);
@@ -62,11 +62,11 @@
   TaskLifecycle& lifecycle_;
   std::string request_prefix_;
   std::uint64_t requests_made_ = 0;
-  std::deque<CloudCall> scale_outs_;          // to be sent
-  std::set<std::string> pending_scale_outs_;  // names of those without an answer
+  std::deque<CloudCall> scale_outs_;          // not sent yet
+  std::set<std::string> pending_scale_outs_;  // names of unanswered requests
   Instant next_scale_out_;
-  std::set<MachineId> pending_releases_;  // to be sent
-  bool list_open_ = false;
+  std::set<MachineId> pending_releases_;  // not sent yet
+  bool list_open_ = false;                // a list request is in flight
   bool list_seen_ = false;
   Instant next_list_;
 };
--- a/src/scheduling/cluster_capacity.h
+++ b/src/scheduling/cluster_capacity.h
@@ -1,4 +1,4 @@
-// What the machines offer to arrays, as of the last planning round.
+// The capacity that machines offer to array jobs, as of the last planning round.
 #pragma once
 
 #include <array>
@@ -10,18 +10,18 @@
 
 namespace magpie {
 
-// The capacity of all machines of one kind.
+// The total capacity of the machines of one kind.
 struct KindCapacity {
   int machines = 0;
-  Resources without_services;  // of those in the plan: what services leave to arrays
+  Resources without_services;  // not used by services, on machines of the plan
 };
 
-// The plan of a round measures it; the order of jobs in the next round is based on it.
+// Measured while the plan of a round is built; used to order jobs in the next round.
 struct ClusterCapacity {
-  std::vector<KindCapacity> by_kind;  // by number of the kind; empty before the first round
-  // Until the arrays that run now would be done if they had all the capacity, by priority.
+  std::vector<KindCapacity> by_kind;  // indexed by kind number; empty before the first round
+  // By priority: the time in which all array capacity would complete the running array tasks.
   std::array<Seconds, kPriorityCount> remaining_run_time{};
-  double array_cpus = 0;  // CPUs that services leave to arrays
+  double array_cpus = 0;  // CPUs not used by services
 };
 
 }  // namespace magpie
--- a/src/scheduling/cluster_state.cc
+++ b/src/scheduling/cluster_state.cc
@@ -2,12 +2,12 @@
 
 namespace magpie {
 namespace {
-// Workers vary their heartbeats by a quarter of the interval.
-constexpr double kLateIntervals = 1.3;
-constexpr Seconds kLateMargin{1};
+// Above 1.25, since workers vary the time between heartbeats by a quarter of the interval.
+constexpr double kLateHeartbeatIntervals = 1.3;
+constexpr Seconds kLateHeartbeatMargin{1};
 
-Seconds LateAfter(const SchedulerOptions& options) {
-  return kLateIntervals * options.heartbeat_interval + kLateMargin;
+Seconds LateHeartbeatTimeout(const SchedulerOptions& options) {
+  return kLateHeartbeatIntervals * options.heartbeat_interval + kLateHeartbeatMargin;
 }
 }  // namespace
 
@@ -16,7 +16,7 @@
     : options(std::move(scheduler_options)),
       decisions(options.log_decisions),
       autoscaler(autoscaler_options),
-      machines(LateAfter(options)),
+      machines(LateHeartbeatTimeout(options)),
       kinds(autoscaler),
       run_times(kinds, autoscaler),
       quotas(options.teams) {}
@@ -47,7 +47,7 @@
 }
 
 void ClusterState::RemoveJob(Job& job) {
-  for (Task& task : job.tasks) record_pages.Leave(task.page);
+  for (Task& task : job.tasks) record_pages.Unassign(task.page);
   quotas.DropClaim(job);
   failure_attribution.Forget(job.serial);
   unpersisted.Remove(job.spec.id);
--- a/src/scheduling/cluster_state.h
+++ b/src/scheduling/cluster_state.h
@@ -1,7 +1,7 @@
-// What the components of a scheduler share: the tables, and the signals between them.
+// The state shared by the components of a scheduler: tables, and signals between components.
 //
-// Each table keeps its own invariant and knows nothing of the others. Components are given a
-// reference to this object; it knows none of them. Not thread-safe.
+// Each table keeps its own invariant and does not depend on the others. Components hold a reference
+// to this object; it does not depend on them.
 #pragma once
 
 #include <array>
@@ -34,24 +34,24 @@
 
 inline constexpr std::size_t kPriorityCount = 4;
 
-// The present term of leadership.
+// The current term of leadership.
 struct LeaderTerm {
-  FencingToken token;     // 0: this controller does not lead
-  bool loaded = false;    // all durable records have been read
-  Instant loaded_at;      // when they had been
+  FencingToken token;   // 0: this controller is not the leader
+  bool loaded = false;  // all durable records have been read
+  Instant loaded_at;
   bool may_start = true;  // see Scheduler::AllowTaskStarts
 };
 
-// What the next ticks have to do.
+// What components request of the next ticks.
 struct TickSignals {
-  // The scheduler should be ticked before its time.
+  // Requests a tick before the next regular one.
   void RequestTick() { tick_requested = true; }
-  // Machines are inspected at the next tick, which is requested.
+  // Requests a tick that inspects machines.
   void RequestInspection() {
     tick_requested = true;
     next_inspection = {};
   }
-  // A full plan may come out otherwise than the last one.
+  // Records that a full plan may differ from the last one.
   void MarkChanged() { changed_since_plan = true; }
 
   bool tick_requested = false;
@@ -59,7 +59,7 @@
   bool changed_since_plan = true;
 };
 
-// Work done since the takeover, for benchmarks and the status.
+// Work done since the takeover, for benchmarks and status reports.
 struct WorkCounters {
   std::uint64_t candidates_evaluated = 0;
   std::uint64_t jobs_planned = 0;
@@ -67,17 +67,18 @@
   std::uint64_t commands_issued = 0;
 };
 
-// How many machines with tasks by the records have yet to be compared with a heartbeat.
+// Progress of the comparison of durable records with heartbeats after a takeover.
 struct Reconciliation {
-  std::size_t machines = 0;      // that held tasks by the records at the takeover
-  std::size_t unreconciled = 0;  // of these, neither heard of nor removed since
+  std::size_t machines = 0;      // machines with bound tasks in the records at the takeover
+  std::size_t unreconciled = 0;  // of these, without a heartbeat or a removal since
 };
 
-// Notes of decisions, if the options ask for them. They are taken by the controller's log.
+// Texts of scheduling decisions, kept if enabled by the options and written to the controller's
+// log.
 class DecisionLog {
  public:
   explicit DecisionLog(bool enabled) : enabled_(enabled) {}
-  // Callers in hot loops ask first, so that no text is made in vain.
+  // Callers in hot loops check this first, to build no text that would be discarded.
   bool enabled() const { return enabled_; }
   void Add(std::string text) {
     if (enabled_) decisions_.push_back(std::move(text));
@@ -89,18 +90,18 @@
   std::vector<std::string> decisions_;
 };
 
-// The tables and signals that the parts of one scheduler share. Not thread-safe.
+// Not thread-safe: used by one scheduler.
 struct ClusterState {
   ClusterState(SchedulerOptions scheduler_options, Autoscaler::Options autoscaler_options);
-  // Machines and jobs point into each other's tables.
+  // Not copyable: machines and jobs hold pointers into each other's tables.
   ClusterState(const ClusterState&) = delete;
   ClusterState& operator=(const ClusterState&) = delete;
 
-  // Forgets all but what was learned of run times, boot times, kinds and refused scale-outs.
+  // Clears everything except learned run times, boot times, machine kinds and refused scale-outs.
   void Clear();
-  // A machine that is new to the table gets the term's token.
+  // Adds the machine if it is not in the table; its first token is the term's.
   Machine& FindOrCreateMachine(const MachineId& id, Instant now);
-  // Removes a job that no machine holds a task of, from all tables.
+  // Removes the job from all tables. None of its tasks may be assigned to a machine.
   void RemoveJob(Job& job);
 
   const SchedulerOptions options;
@@ -121,7 +122,7 @@
   ImageRegistry images;
   RunTimeEstimator run_times;
   QuotaLedger quotas;
-  // CPUs that arrays hold on machines, by priority.
+  // CPUs in use by array tasks, by priority.
   std::array<double, kPriorityCount> array_cpus{};
   RecordPages record_pages;
   UnpersistedRecords unpersisted;
--- a/src/scheduling/command_builder.cc
+++ b/src/scheduling/command_builder.cc
@@ -22,7 +22,7 @@
   return commands;
 }
 
-// Stops what should not run there, and lets the worker forget what has ended.
+// Adds stop commands for attempts that must not run there and forget commands for ended ones.
 void CommandBuilder::AddCommandsForReported(const Machine& machine,
                                             std::vector<Command>& commands) const {
   for (const TaskStatus& status : machine.last) {
--- a/src/scheduling/command_builder.h
+++ b/src/scheduling/command_builder.h
@@ -1,4 +1,5 @@
-// The commands that a machine should get, from what it reported and what it holds.
+// Builds the commands for a machine from the task statuses its worker sent and the tasks bound to
+// it.
 #pragma once
 
 #include <vector>
@@ -8,16 +9,16 @@
 
 namespace magpie {
 
-// A task is run only once its binding is durable, and only if it is absent from the worker's latest
-// report. An ended attempt is forgotten by the worker only once its end is durable or it is bound
-// no longer, and no command in flight could start it again.
+// A task is started only after its binding is durable, and only if the worker's latest message does
+// not list it. A worker is told to forget an ended attempt only after the end is durable or the
+// attempt is unbound, and while no command in flight could start the attempt again.
 class CommandBuilder {
  public:
   // `state` must outlive this object.
   explicit CommandBuilder(ClusterState& state) : state_(state) {}
 
-  // At most so many as one message carries. Tasks that may not be started yet are noted, so that
-  // they are tried again.
+  // Returns at most as many commands as one message may carry. A machine with tasks that must not
+  // be started yet is recorded in the command queue, for a retry.
   std::vector<Command> CommandsFor(const Machine& machine);
 
  private:
--- a/src/scheduling/command_dispatcher.cc
+++ b/src/scheduling/command_dispatcher.cc
@@ -33,7 +33,7 @@
   return std::nullopt;
 }
 
-// Commands to a machine that is silent wait until it is heard again.
+// Commands to a machine with late heartbeats are deferred until it sends one.
 bool CommandDispatcher::CanSend(const Machine& machine, Instant now) const {
   return !machine.command_in_flight && machine.up && now >= machine.next_command_at &&
          (!machine.relayed || machine.directly_reachable) &&
@@ -49,12 +49,13 @@
     return;
   Machine& machine = *found;
   machine.command_in_flight = false;
-  // Once: a worker that refuses would otherwise be asked again without a pause, for ever.
+  // Requested once per deferral: a worker that refuses commands would otherwise get them in an
+  // endless loop without a pause.
   if (std::exchange(machine.command_deferred, false)) state_.commands.Request(machine);
   state_.machines.heartbeats().Watch(machine);
   machine.directly_reachable = status == DeliveryStatus::kAnswered;
   if (direct_command.commands.empty() && status != DeliveryStatus::kAnswered) {
-    OnProbeFailed(machine, now);  // should the probe arrive late, it does no harm
+    OnProbeFailed(machine, now);  // a late probe has no effect, so the token is not raised
     return;
   }
   switch (status) {
@@ -75,28 +76,29 @@
 }
 
 void CommandDispatcher::OnProbeFailed(Machine& machine, Instant now) {
-  constexpr Seconds kMaxSilence{4};  // before a machine that does not answer is suspected
+  constexpr Seconds kMaxHeartbeatAge{4};  // without an answer to a probe, before it is suspected
   if (machine.failed_probes++ == 0) {
     machine.failing_since = now;
-    const bool heard_before = machine.up || !machine.tasks.empty();
-    if (heard_before && !machine.relayed) alarm_.RecordFailedProbe(now);
+    const bool was_in_use = machine.up || !machine.tasks.empty();
+    if (was_in_use && !machine.relayed) alarm_.RecordFailedProbe(now);
   }
   machine.suspected =
       !machine.relayed &&
-      now - machine.last_heartbeat > std::min(state_.options.heartbeat_interval, kMaxSilence);
+      now - machine.last_heartbeat > std::min(state_.options.heartbeat_interval, kMaxHeartbeatAge);
   machine.next_probe_at = now + (alarm_.IsOn(now) ? kProbeRetryDelayInAlarm : kProbeRetryDelay);
   state_.signals.RequestInspection();
 }
 
 void CommandDispatcher::OnAnswer(Machine& machine, const DirectCommand& direct_command,
                                  const Heartbeat& answer, Instant now) {
-  // A later leader's token must never become this one's: with it, what a deposed leader still
-  // believes would be obeyed.
+  // This leader must never adopt a later leader's token: with it, workers would obey commands based
+  // on the outdated state of a deposed leader.
   if (EpochOf(answer.token) > EpochOf(state_.term.token) &&
       !IsDisabled(SafetyCheck::kLaterEpochCommand))
     return;
   heartbeats_.OnDirectCommandAnswer(machine, direct_command, answer, now);
-  // The probe was refused for its agent epoch, which is known now: try again at once.
+  // The worker refused the probe because of an outdated agent epoch; the answer has the current
+  // one.
   if (direct_command.commands.empty() && machine.seen_token < machine.token)
     probes_.ProbeNow(machine, now);
 }
--- a/src/scheduling/command_dispatcher.h
+++ b/src/scheduling/command_dispatcher.h
@@ -1,8 +1,8 @@
-// Sends commands to workers on the leader's own connections, and learns from how that ended.
+// Selects direct commands, which the leader sends to workers, and applies their results.
 //
-// Invariant: a machine has at most one direct command in flight. One that ended without an answer
-// may be executed at any time until the worker sees a higher token, so the machine's token is
-// raised then, and with it fencing_token (see fencing.h).
+// Invariant: a machine has at most one direct command in flight. A worker may execute an unanswered
+// command at any time until it sees a higher token, so the machine's token and its fencing_token
+// are raised after one (see fencing.h).
 #pragma once
 
 #include <optional>
@@ -18,10 +18,10 @@
 
 namespace magpie {
 
-// Not thread-safe: it belongs to one scheduler.
+// Not thread-safe: used by one scheduler.
 class CommandDispatcher {
  public:
-  // All must outlive this object.
+  // All arguments must outlive this object.
   CommandDispatcher(ClusterState& state, CommandBuilder& command_builder,
                     HeartbeatProcessor& heartbeats, ProbeScheduler& probes, MassFailureAlarm& alarm)
       : state_(state),
@@ -30,9 +30,9 @@
         probes_(probes),
         alarm_(alarm) {}
 
-  // The next commands to send; none if no machine that can take them waits for any.
+  // Returns the next commands to send; none if no queued machine can receive commands.
   std::optional<DirectCommand> Next(Instant now);
-  // A command or a probe has ended. `answer` is set only if the worker answered.
+  // Applies the result of a command or a probe. `answer` is set only if the worker answered.
   void OnResult(const DirectCommand& direct_command, DeliveryStatus status,
                 const std::optional<Heartbeat>& answer, Instant now);
 
--- a/src/scheduling/command_queue.h
+++ b/src/scheduling/command_queue.h
@@ -1,7 +1,7 @@
-// The machines that have commands waiting.
+// The machines with pending commands.
 //
-// Invariant: a machine with a task that may not be started yet is in the second set, or has been
-// moved to the first one, so that the task is looked at again.
+// Invariant: a machine with a task that must not be started yet is in withheld_, or was moved to
+// waiting_, so the start is retried.
 #pragma once
 
 #include <cstddef>
@@ -12,18 +12,18 @@
 
 namespace magpie {
 
-// Not thread-safe: it belongs to one scheduler.
+// Not thread-safe: used by one scheduler.
 class CommandQueue {
  public:
   void Clear();
-  // The machine may have commands to be sent.
+  // Queues the machine: there may be commands for it.
   void Request(const Machine& machine) { waiting_.insert(machine.id); }
   void Remove(const Machine& machine) { waiting_.erase(machine.id); }
   // Removes and returns the first machine; the queue must not be empty.
   MachineId Pop() { return waiting_.extract(waiting_.begin()).value(); }
-  // A task of the machine may not be started for now.
+  // Records that a task bound to the machine must not be started yet.
   void Withhold(const Machine& machine) { withheld_.insert(machine.id); }
-  // Machines with withheld tasks are looked at again.
+  // Queues all machines with withheld tasks.
   void RetryWithheld();
   bool empty() const { return waiting_.empty(); }
   std::size_t size() const { return waiting_.size(); }
--- a/src/scheduling/fencing.cc
+++ b/src/scheduling/fencing.cc
@@ -31,8 +31,8 @@
 }
 
 bool TokensExhausted(const Machine& machine) {
-  constexpr std::uint64_t kLowMask = (1ULL << kTokenLowBits) - 1;
-  return (machine.token.value & kLowMask) == kLowMask;
+  constexpr std::uint64_t kLowBitsMask = (1ULL << kTokenLowBits) - 1;
+  return (machine.token.value & kLowBitsMask) == kLowBitsMask;
 }
 
 DirectCommand MakeDirectCommand(const Machine& machine, std::vector<Command> commands) {
--- a/src/scheduling/fencing.h
+++ b/src/scheduling/fencing.h
@@ -1,24 +1,24 @@
-// Which messages of a worker prove what.
+// What the leader may conclude from a worker's message.
 //
-// A task may be bound again only once it can no longer start where it was. That rests on tokens, on
-// the order of messages and on agent epochs; on no clock.
+// A task may be bound again only once it can no longer start on its previous machine. The proof
+// rests on tokens, message order and agent epochs, not on clocks:
 //
-//  - A worker obeys no command whose token is below the highest one that it has seen.
-//  Machine::token
-//    is what commands carry; Machine::seen_token is the highest that the worker is known to have
-//    seen; Machine::fencing_token is above the tokens of all commands that got no answer. So once
-//    seen_token >= fencing_token, none of those commands can be executed any more.
-//  - A heartbeat that does not list a task therefore proves its absence only then, and only while
-//  no
-//    direct command is in flight. An answer to a direct command says nothing of the response to a
-//    heartbeat that may still be on its way; the next heartbeat does, since the worker sends it
-//    after it has received or given up that response.
-//  - Messages may be late, copied or overtaken. One counts only if it is newer than all before it,
-//    by (agent epoch, sequence number) as well as by token: a worker that was restarted under the
-//    same name may have lost its numbers and its token.
-//  - The answer to a direct command is made after the command was sent. If it has an older number
+//  - A worker rejects commands with a token below the highest one that it has seen. Machine::token
+//    is the token that commands carry; Machine::seen_token is the highest token that the worker is
+//    known to have seen; Machine::fencing_token is above the tokens of all unanswered commands.
+//    Once seen_token >= fencing_token, none of the unanswered commands can be executed.
+//  - So a heartbeat that does not list a task proves its absence only if seen_token >=
+//  fencing_token
+//    and no direct command is in flight. An answer to a direct command proves nothing about a
+//    heartbeat response that is still in flight. The next heartbeat does: the worker sends it after
+//    it has received that response or timed out.
+//  - Messages may be delayed, duplicated or reordered. A message is applied only if it is newer
+//  than
+//    all earlier ones, by (agent epoch, sequence number) and by token: a worker restarted under the
+//    same name may have lost its sequence numbers and its token.
+//  - The answer to a direct command is created after the command was sent. If its sequence number
 //  or
-//    token than the worker had reported by then, the worker has lost what it knew.
+//    token is older than those known when the command was sent, the worker has lost its state.
 #pragma once
 
 #include <vector>
@@ -29,26 +29,26 @@
 
 namespace magpie {
 
-// Why a worker has sent a message.
+// What a worker sent a message as.
 enum class MessageSource {
-  kHeartbeat,            // sent by the worker
-  kDirectCommandAnswer,  // given to a direct command
+  kHeartbeat,
+  kDirectCommandAnswer,
 };
 
-// Whether a message proves that what it does not list cannot start there any more.
+// Whether a message proves that tasks it does not list can no longer start on the machine.
 bool ProvesAbsence(const Machine& machine, MessageSource source);
 
-// Whether a message is newer than all that the machine said before.
+// Whether the heartbeat is newer than all earlier messages of the machine.
 bool IsNewer(const Machine& machine, const Heartbeat& heartbeat);
 
-// Whether the answer shows that the worker has lost its numbers, its token and its tasks since the
+// Whether the answer shows that the worker has lost its sequence numbers, token and tasks since the
 // command was sent.
 bool HasRestarted(const DirectCommand& direct_command, const Heartbeat& answer);
 
-// Whether no higher token of this term is left for the machine.
+// Whether the term has no higher token left for the machine.
 bool TokensExhausted(const Machine& machine);
 
-// Commands to the machine, along with what it has reported up to now.
+// Addresses commands to the machine and adds the latest sequence number and token known of it.
 DirectCommand MakeDirectCommand(const Machine& machine, std::vector<Command> commands);
 
 }  // namespace magpie
--- a/src/scheduling/heartbeat_index.h
+++ b/src/scheduling/heartbeat_index.h
@@ -1,8 +1,8 @@
-// When each machine was last heard, and which machines to inspect.
+// Tracks when each machine sent its last heartbeat, and which machines to inspect.
 //
-// Invariant: each member is in exactly one of two lists, both ordered by last heartbeat: late ones
-// and fresh ones. A heartbeat moves its machine to the end of the fresh list, and machines become
-// late from its front, so the cost follows what changed and not the number of machines.
+// Invariant: each member is in exactly one of two lists, late and fresh, both ordered by last
+// heartbeat. A heartbeat moves its machine to the end of the fresh list, and machines at the front
+// of that list become late first. So the cost depends on the number of changes, not of machines.
 #pragma once
 
 #include <cstdint>
@@ -14,51 +14,51 @@
 
 namespace magpie {
 
-// Not thread-safe: it belongs to one scheduler.
+// Not thread-safe: used by one scheduler.
 class HeartbeatIndex {
  public:
   struct Zone {
-    std::uint32_t all = 0;   // members that are counted in the zone
-    std::uint32_t late = 0;  // of these, how many are late
-    Instant last_heartbeat;  // the latest that came without another controller between
+    std::uint32_t all = 0;   // members counted in the zone
+    std::uint32_t late = 0;  // of these, with late heartbeats
+    Instant last_heartbeat;  // the latest one that was not relayed by another controller
   };
 
-  // A machine as the index knows it. Its owner may free it after RemoveMember.
+  // The index's data of a machine. Its owner may free it after RemoveMember.
   struct Member {
     Instant last_heartbeat;
 
    private:
     friend class HeartbeatIndex;
-    std::list<Member*>::iterator place;  // in fresh_ or late_
-    std::list<Member*>::iterator watch;  // in watched_
-    bool joined = false;
+    std::list<Member*>::iterator position;        // in fresh_ or late_
+    std::list<Member*>::iterator watch_position;  // in watched_
+    bool is_member = false;
     bool is_late = false;
     bool is_watched = false;
-    Zone* zone = nullptr;  // where it is counted, if it is
+    Zone* zone = nullptr;  // the zone that counts it; null if none does
   };
 
-  // `late`: how long a machine may be silent before it is late.
-  explicit HeartbeatIndex(Seconds late) : late_after_(late) {}
+  // A machine is late if its last heartbeat is older than `late_after`.
+  explicit HeartbeatIndex(Seconds late_after) : late_after_(late_after) {}
 
   void Clear();
-  // Members must not move in memory until they leave.
-  void AddMember(Member& machine, Instant now);
-  void RemoveMember(Member& machine);
-  // The member was heard just now. Returns whether it was late.
-  bool RecordHeartbeat(Member& machine, Instant now);
-  // A machine of the zone was heard without another controller between.
+  // Members must keep their address until they are removed.
+  void AddMember(Member& member, Instant now);
+  void RemoveMember(Member& member);
+  // Records a heartbeat received now. Returns whether the member was late before.
+  bool RecordHeartbeat(Member& member, Instant now);
+  // Records a heartbeat from the zone that was not relayed by another controller.
   void RecordDirectHeartbeat(const std::string& zone, Instant now) {
     zones_[zone].last_heartbeat = now;
   }
-  // Counts the member in a zone, or not at all.
-  void AssignZone(Member& machine, const std::string& zone, bool counted);
-  // The member is inspected at each inspection, until Unwatch.
-  void Watch(Member& machine);
-  void Unwatch(Member& machine);
-  // Finds the members that have become late.
+  // Counts the member in the zone, or in none if `counted` is false.
+  void AssignZone(Member& member, const std::string& zone, bool counted);
+  // Includes the member in every inspection until Unwatch.
+  void Watch(Member& member);
+  void Unwatch(Member& member);
+  // Moves members that have become late to the late list.
   void AdvanceTime(Instant now);
 
-  // Those heard least lately come first.
+  // Ordered by last heartbeat, oldest first.
   const std::list<Member*>& late() const { return late_; }
   const std::list<Member*>& fresh() const { return fresh_; }
   const std::list<Member*>& watched() const { return watched_; }
--- a/src/scheduling/heartbeat_processor.cc
+++ b/src/scheduling/heartbeat_processor.cc
@@ -12,7 +12,7 @@
 HeartbeatResponse HeartbeatProcessor::OnHeartbeat(const Heartbeat& heartbeat, HeartbeatRoute route,
                                                   Instant now) {
   HeartbeatResponse response;
-  // A token of a later epoch: another controller leads by now.
+  // A token of a later epoch shows that another controller has become the leader.
   if (EpochOf(heartbeat.token) > EpochOf(state_.term.token) &&
       !IsDisabled(SafetyCheck::kLaterEpochHeartbeat)) {
     response.accepted = false;
@@ -42,7 +42,8 @@
     CountOutOfOrder(machine, heartbeat);
     return response;
   }
-  machine.response_in_flight = false;  // the worker has received or given up the last response
+  // The worker sends a heartbeat only after it has received the last response or timed out.
+  machine.response_in_flight = false;
   Apply(machine, heartbeat, MessageSource::kHeartbeat, now);
   response.commands = command_builder_.CommandsFor(machine);
   state_.counters.commands_issued += response.commands.size();
@@ -54,10 +55,10 @@
 }
 
 void HeartbeatProcessor::Buffer(const Heartbeat& heartbeat) {
-  Heartbeat& kept = buffered_[heartbeat.machine];
+  Heartbeat& latest = buffered_[heartbeat.machine];
   if (std::tuple(heartbeat.agent_epoch, heartbeat.sequence) >=
-      std::tuple(kept.agent_epoch, kept.sequence))
-    kept = heartbeat;
+      std::tuple(latest.agent_epoch, latest.sequence))
+    latest = heartbeat;
 }
 
 void HeartbeatProcessor::ApplyBuffered(Instant now) {
@@ -68,8 +69,8 @@
   buffered_.clear();
 }
 
-// A late copy, a message that was overtaken, or a worker that lost what it knew. If such messages
-// go on, the worker is probed to find out which.
+// The message is a duplicate, was delivered out of order, or comes from a worker that lost its
+// state. If such messages continue, the worker is probed to find out which.
 void HeartbeatProcessor::CountOutOfOrder(Machine& machine, const Heartbeat& heartbeat) {
   if (std::tuple(heartbeat.agent_epoch, heartbeat.sequence) ==
       std::tuple(machine.agent_epoch, machine.sequence))
@@ -86,12 +87,12 @@
   if (IsNewer(machine, answer)) Apply(machine, answer, MessageSource::kDirectCommandAnswer, now);
 }
 
-// The worker was restarted without its numbers, its token and its tasks. All that ran there has
-// ended, but copies of earlier commands may still be on their way, and no token that the worker has
-// seen fences them off. So a token above all of those is sent first, and what was bound there stays
-// bound until the worker has seen it (ProvesAbsence); only then is it over.
+// The worker was restarted and lost its sequence numbers, token and tasks. All its tasks have
+// ended, but copies of earlier commands may still be in flight, and no token that the worker has
+// seen fences them off. So the leader first sends a token above all of theirs, and the tasks stay
+// bound until the worker has seen it (ProvesAbsence).
 void HeartbeatProcessor::OnAgentRestarted(Machine& machine, const Heartbeat& heartbeat) {
-  state_.decisions.Add("begun anew " + machine.id.value);
+  state_.decisions.Add("agent restarted machine=" + machine.id.value);
   if (TokensExhausted(machine)) {
     cloud_.Release(machine);
     return;
@@ -122,20 +123,20 @@
   ApplyDescription(machine, heartbeat);
   ApplyLiveness(machine, source, now);
   ApplyPreemptionNotice(machine, heartbeat, now);
-  // Only a worker that has seen a token of this term takes no commands of an earlier leader.
-  const bool commanded_by_us_alone =
+  // A worker rejects commands of earlier leaders only after it has seen a token of this term.
+  const bool rejects_earlier_leaders =
       machine.seen_token >= state_.term.token || IsDisabled(SafetyCheck::kLaterAgentEpoch);
   if (new_agent_epoch) {
-    // This leader's commands for the earlier agent epoch have no effect any more, and all its tasks
-    // have ended. A direct command in flight still has to come back before the next one is sent.
-    // But an earlier leader may have sent commands for this agent epoch, and what was taken for the
-    // earlier epoch may have been a late copy: two epochs alone prove nothing.
+    // The tasks of the earlier agent epoch have ended, and this leader's commands for it have no
+    // effect any more. A direct command in flight must still finish before the next one is sent.
+    // A new epoch alone does not prove absence: an earlier leader may have sent commands for this
+    // epoch, and the message of the earlier epoch may have been a delayed copy.
     machine.fencing_token =
         std::max(state_.term.token, std::min(machine.fencing_token, machine.seen_token));
     machine.response_in_flight = false;
   }
   const bool proves_absence =
-      (new_agent_epoch && commanded_by_us_alone) || ProvesAbsence(machine, source);
+      (new_agent_epoch && rejects_earlier_leaders) || ProvesAbsence(machine, source);
   for (const HeldTask& held : machine.tasks) held.task().listed = false;
   machine.last = heartbeat.tasks;
   for (const TaskStatus& status : heartbeat.tasks) task_statuses_.Apply(machine, status, now);
@@ -144,7 +145,7 @@
 
 void HeartbeatProcessor::ApplyDescription(Machine& machine, const Heartbeat& heartbeat) {
   machine.addr = heartbeat.addr;
-  // What has been counted in a zone stays counted there, whatever a worker reports.
+  // A machine that is counted in a zone stays in that zone, whatever its worker sends later.
   if (machine.zone.empty()) machine.zone = heartbeat.zone;
   if (!machine.kind || machine.type != heartbeat.type || machine.spot != heartbeat.spot)
     machine.kind.reset();
@@ -162,9 +163,9 @@
   if (!machine.relayed) heartbeats.RecordDirectHeartbeat(machine.zone, now);
   machine.suspected = false;
   machine.failed_probes = 0;
-  UpdateCannotReport(machine, source, now);
+  UpdateInboundReachability(machine, source, now);
   if (!machine.up) {
-    if (std::exchange(machine.in_records, false)) --state_.reconciliation.unreconciled;
+    if (std::exchange(machine.awaiting_reconciliation, false)) --state_.reconciliation.unreconciled;
     machine.up = true;
     if (machine.provisioned_by_leader)
       state_.boot_times.RecordBoot(machine.type, now - machine.created_at, now);
@@ -189,32 +190,33 @@
   if (machine.preemption_deadline) state_.machines.heartbeats().Watch(machine);
 }
 
-// An answered probe renews no lease. A worker that reaches no controller is heard by probes alone,
-// and all tasks that start there end with the lease, again and again.
-void HeartbeatProcessor::UpdateCannotReport(Machine& machine, MessageSource source, Instant now) {
-  constexpr double kMissedIntervals = 4;
-  constexpr double kPartOfLease = 0.5;
+// A worker that reaches no controller may still answer probes, but these renew no lease: tasks
+// would be started there and end with the lease, again and again.
+void HeartbeatProcessor::UpdateInboundReachability(Machine& machine, MessageSource source,
+                                                   Instant now) {
+  constexpr double kMaxMissedIntervals = 4;
+  constexpr double kMaxLeaseFraction = 0.5;
   if (source == MessageSource::kHeartbeat || !machine.up) machine.heartbeat_received_at = now;
-  const Seconds maximum = std::max(kMissedIntervals * state_.options.heartbeat_interval,
-                                   kPartOfLease * state_.options.lease);
+  const Seconds maximum = std::max(kMaxMissedIntervals * state_.options.heartbeat_interval,
+                                   kMaxLeaseFraction * state_.options.lease);
   const bool inbound_unreachable = now - machine.heartbeat_received_at > maximum;
   if (std::exchange(machine.inbound_unreachable, inbound_unreachable) != inbound_unreachable)
     state_.signals.MarkChanged();
 }
 
-// Tasks that the heartbeat does not list are proved absent. A cancelled task or one that was asked
-// to stop is over; one of an earlier agent epoch was killed; any other has not started and is sent
-// again, if it may be. That is asked one by one, since each task that is unbound makes way for the
-// others.
+// Handles tasks that are proved absent because the heartbeat does not list them. A cancelled task
+// or one with a stop request has ended, and one of an earlier agent epoch was killed. Any other has
+// not started and is sent again if MayStart allows it, which is checked for each task, since each
+// unbound task frees quota for the others.
 void HeartbeatProcessor::FinishAbsentTasks(Machine& machine, bool new_agent_epoch, Instant now) {
-  const std::vector<HeldTask> all = machine.tasks;
-  for (const HeldTask& held : all) {
+  const std::vector<HeldTask> tasks = machine.tasks;
+  for (const HeldTask& held : tasks) {
     const Task& task = held.task();
     if (task.listed || task.state != TaskPhase::kBound) continue;
     if (held.job->cancelled || task.stop_requested || task.result_unconfirmed || new_agent_epoch ||
         machine.preemption_deadline || !state_.quotas.MayStart(*held.job)) {
       lifecycle_.FinishAttempt(*held.job, held.index, now);
-    } else if (task.running) {  // the machine was restarted: the task starts again
+    } else if (task.running) {  // the machine was restarted, and the task is started again
       lifecycle_.ForgetStart(*held.job, held.index);
     }
   }
--- a/src/scheduling/heartbeat_processor.h
+++ b/src/scheduling/heartbeat_processor.h
@@ -1,8 +1,8 @@
 // Applies heartbeats to machines and their tasks, and answers them with commands.
 //
-// A heartbeat is applied only if it is newer than all that its machine said before; a task that it
-// does not list is taken to be absent only if fencing.h says that this is proved. Until the records
-// are loaded, the latest heartbeat of each machine is kept and answered without commands.
+// A heartbeat is applied only if it is newer than all earlier messages of its machine. A task that
+// it does not list is treated as absent only if that is proved (see fencing.h). Until the records
+// are loaded, the latest heartbeat of each machine is buffered and answered without commands.
 #pragma once
 
 #include <map>
@@ -20,10 +20,10 @@
 
 namespace magpie {
 
-// Not thread-safe: it belongs to one scheduler.
+// Not thread-safe: used by one scheduler.
 class HeartbeatProcessor {
  public:
-  // All must outlive this object.
+  // All arguments must outlive this object.
   HeartbeatProcessor(ClusterState& state, TaskLifecycle& lifecycle, CloudCoordinator& cloud,
                      TaskStatusProcessor& task_statuses, CommandBuilder& command_builder)
       : state_(state),
@@ -34,9 +34,9 @@
 
   void Clear() { buffered_.clear(); }
   HeartbeatResponse OnHeartbeat(const Heartbeat& heartbeat, HeartbeatRoute route, Instant now);
-  // The records are loaded: applies what was heard meanwhile.
+  // Applies the heartbeats that were received while the records were loaded.
   void ApplyBuffered(Instant now);
-  // A worker's answer to a direct command.
+  // Applies a worker's answer to a direct command.
   void OnDirectCommandAnswer(Machine& machine, const DirectCommand& direct_command,
                              const Heartbeat& answer, Instant now);
 
@@ -48,7 +48,7 @@
   void ApplyDescription(Machine& machine, const Heartbeat& heartbeat);
   void ApplyLiveness(Machine& machine, MessageSource source, Instant now);
   void ApplyPreemptionNotice(Machine& machine, const Heartbeat& heartbeat, Instant now);
-  void UpdateCannotReport(Machine& machine, MessageSource source, Instant now);
+  void UpdateInboundReachability(Machine& machine, MessageSource source, Instant now);
   void FinishAbsentTasks(Machine& machine, bool new_agent_epoch, Instant now);
 
   ClusterState& state_;
--- a/src/scheduling/job_state.h
+++ b/src/scheduling/job_state.h
@@ -20,69 +20,69 @@
 
 struct Machine;
 
-// How far a task has come, in the order in which that happens.
+// The phases of a task, in order.
 enum class TaskPhase : std::uint8_t {
-  kPending,  // waits for a machine
-  kBinding,  // has a machine, which is not durable yet
-  kBound,    // has a machine, by the durable records
-  kEnding,   // is done, which is not durable yet
-  kDone,
+  kPending,  // waits for placement
+  kBinding,  // assigned to a machine; the binding is not durable yet
+  kBound,    // assigned to a machine by a durable binding
+  kEnding,   // completed; the record of its end is not durable yet
+  kDone,     // completed, by its durable record
 };
 
-// A task of a job. TaskLifecycle changes its state; the processors of heartbeats change what its
-// worker reports.
+// A task of a job. TaskLifecycle changes its state; HeartbeatProcessor and TaskStatusProcessor
+// update the fields that follow the worker's messages.
 struct Task {
   TaskPhase state = TaskPhase::kPending;
-  bool listed = false;           // in its machine's last heartbeat, at this attempt
-  bool running = false;          // by its machine's last heartbeat
-  bool stop_requested = false;   // the attempt is to be stopped
+  bool listed = false;           // this attempt is in the latest message of its machine
+  bool running = false;          // according to the latest message of its machine
+  bool stop_requested = false;   // the attempt must be stopped
   bool overrun_counted = false;  // its long run time was counted against its machine
-  bool start_observed = false;   // by this leader, so that its run time is known
-  bool unpersisted = false;      // differs from the durable record
-  bool planned = false;          // in the write batch under construction
-  bool holds_resources = false;  // takes resources of its machine
-  // A result was reported that may be from before this term: see TaskStatusProcessor.
+  bool start_observed = false;   // this leader observed its start, so its run time is known
+  bool unpersisted = false;      // differs from its durable record
+  bool planned = false;          // its record is in the write batch under construction
+  bool holds_resources = false;  // uses resources of its machine
+  // The worker sent a result that may be from before this term: see TaskStatusProcessor.
   bool result_unconfirmed = false;
-  RecordPageId page = 0;  // the page that has its durable record
+  RecordPageId page = 0;  // the page with its durable record; 0: none
   Seconds termination_grace_period;
   Attempt attempt;
   Machine* machine = nullptr;      // owned by the MachineTable
-  Instant since;                   // when it was bound, then when it was seen running
-  std::optional<Instant> overdue;  // when it is overdue, if it is in OverdueTasks
+  Instant since;                   // time of its binding, then of the first message that it runs
+  std::optional<Instant> overdue;  // when it becomes overdue, if it is in OverdueTasks
 };
 
-// A job that is not over, owned by the JobTable.
+// A job that is not final, owned by the JobTable.
 struct Job {
   JobSpec spec;
   std::uint32_t image = 0;  // its number in the ImageRegistry
   std::string shape;        // see job_shape.h
   Revision revision;
   bool cancelled = false;
-  bool within_guarantee = false;  // its team's guarantee, as of its arrival: see QuotaLedger
-  Resources claim;                // on its team's guarantee, until it is done
+  bool within_guarantee = false;  // its team's guarantee covered it on arrival: see QuotaLedger
+  Resources claim;                // its part of its team's guarantee, until it is done
   Instant cancelled_at;
   std::vector<Task> tasks;
-  std::uint32_t serial = 0;                      // never used again
-  std::vector<std::uint32_t> unpersisted_tasks;  // their indices
-  std::deque<std::uint32_t> pending;             // indices of tasks, the next first
-  std::uint32_t done = 0;                        // tasks that are done or ending
-  std::uint32_t bound = 0;                       // tasks that are binding, bound or ending
-  Instant not_before;     // no task is placed before, after a worker refused one
-  Instant preempt_after;  // until then, preempted tasks are leaving
+  std::uint32_t serial = 0;                      // unique, never reused
+  std::vector<std::uint32_t> unpersisted_tasks;  // indices of tasks
+  std::deque<std::uint32_t> pending;             // indices of pending tasks in placement order
+  std::uint32_t done = 0;                        // number of tasks that are done or ending
+  std::uint32_t bound = 0;  // number of tasks that are binding, bound or ending
+  Instant not_before;       // earliest next placement, after a worker refused to start a task
+  Instant preempt_after;    // earliest next preemption: earlier preempted tasks are still stopping
   Instant arrived;
   Instant unpersisted_since;
-  bool bindings_unpersisted = false;  // a binding waits to be written
+  bool bindings_unpersisted = false;  // a binding is not written yet
   std::map<std::string, std::uint32_t> tasks_by_zone;
-  bool reload_pending = false;  // nothing is written until its record is read again
-  bool begun = false;           // a task was seen running
+  bool reload_pending = false;  // no writes until its record is read again
+  bool has_started = false;     // a worker has sent a message that one of its tasks runs
   JobPace pace;
-  // Expected run times in seconds by number of kind: a cache of RunTimeEstimator.
+  // Cache of RunTimeEstimator: expected run times in seconds, indexed by kind number.
   mutable std::vector<double> runs;
   mutable std::uint64_t runs_version = 0;
 };
 
-// A task that a machine holds. The pointer stays valid, since a job is removed only when no machine
-// holds any of its tasks.
+// A task assigned to a machine. The pointer stays valid, since a job is removed only when none of
+// its tasks is assigned to a machine.
 struct HeldTask {
   Job* job = nullptr;
   std::uint32_t index = 0;
--- a/src/scheduling/job_table.h
+++ b/src/scheduling/job_table.h
@@ -1,9 +1,9 @@
-// The jobs that are not over, and which of them wait for placement.
+// The jobs that are not final, and the queue of those with pending tasks.
 //
-// Invariant: each job is found under its id and under its serial number. Serials are never used
-// again, so a serial kept elsewhere finds its own job or none. A job keeps its address until it is
-// removed, and is removed only when no machine holds a task of it, since machines point to jobs.
-// Each job with a pending task is queued; the planner drops queued jobs that have none any more.
+// Invariant: each job is found by its id and by its serial number. Serials are never reused, so a
+// stored serial finds its own job or none. A job keeps its address until it is removed. It is
+// removed only when none of its tasks is assigned to a machine, since machines point to jobs.
+// Each job with a pending task is queued; the planner drops queued jobs without pending tasks.
 #pragma once
 
 #include <cstdint>
@@ -21,32 +21,32 @@
 
 namespace magpie {
 
-// Not thread-safe: it belongs to one scheduler.
+// Not thread-safe: used by one scheduler.
 class JobTable {
  public:
   using Jobs = std::map<JobId, std::unique_ptr<Job>>;
-  // By age, never by address: the same events must lead to the same decisions.
+  // Orders by age and not by address, so that the same events lead to the same decisions.
   struct BySerial {
     bool operator()(const Job* a, const Job* b) const { return a->serial < b->serial; }
   };
   using Queue = std::set<Job*, BySerial>;
 
-  // Removes all jobs. Serials go on from where they were.
+  // Removes all jobs. The numbering of serials continues.
   void Clear();
-  // Adds a job that is not in the table yet, with all tasks unbound; it is not queued.
+  // Adds a job with all tasks unbound and without queueing it. It must not be in the table.
   Job& Add(const JobSpec& spec);
   void Remove(Job& job);
 
-  // These return null if there is no such job.
+  // The Find functions return null if there is no such job.
   Job* Find(const JobId& id) const;
   Job* FindBySerial(std::uint32_t serial) const;
-  // As Find, but fast if the machine holds a task of the job.
+  // Like Find, but faster if a task of the job is assigned to the machine.
   Job* FindFrom(const Machine& machine, const JobId& id) const;
 
   const Jobs& all() const { return jobs_; }
   Queue& queued() { return queued_; }
 
-  // Remembers that the job arrived or was cancelled, until the next TakeChanged.
+  // Records that the job arrived or was cancelled, until the next TakeChanged.
   void MarkChanged(const JobId& id) { changed_.push_back(id); }
   std::vector<JobId> TakeChanged() { return std::exchange(changed_, {}); }
 
--- a/src/scheduling/machine_state.h
+++ b/src/scheduling/machine_state.h
@@ -18,75 +18,77 @@
 
 namespace magpie {
 
-// An image that a machine is expected to have.
+// An image that is expected to be in a machine's cache.
 struct CachedImage {
-  std::uint32_t number = 0;  // in the ImageRegistry
+  std::uint32_t number = 0;  // of the ImageRegistry
   double size_gb = 0;
 };
 
-// A run time on a machine that says something of its speed.
+// Compares a task's run time on a machine with its run times on other machines.
 struct PaceSample {
   JobId job;
   bool slow = false;
 };
 
-// A machine, owned by the MachineTable. Fields of the base class say when it was heard.
+// A machine, owned by the MachineTable. The base class has the time of its last heartbeat.
 struct Machine : HeartbeatIndex::Member {
-  // --- What it is. The type is empty until the cloud or the worker has named it.
+  // --- Description. The type is empty until the cloud or the worker has sent it.
   MachineId id;
   std::string addr;
   std::string type;
   std::string zone;
   bool spot = false;
-  std::optional<std::size_t> kind;  // number in MachineKinds, once known
+  std::optional<std::size_t> kind;  // number of its kind in MachineKinds, once known
 
-  // --- Its life
+  // --- Life cycle
   Instant created_at;
-  bool provisioned_by_leader = false;  // by this leader
-  bool up = false;                     // was heard since the takeover
-  bool in_records = false;      // held tasks by the records at the takeover, and is not reconciled
-  bool listed_running = false;  // by the cloud's last list
-  bool listed_failed = false;   // by the cloud's last list
-  bool releasing = false;       // a release was sent or is about to be
-  bool cordoned = false;        // faulty or slow: nothing more is put there
-  bool draining = false;        // its replicas move to other machines
-  std::optional<Instant> preemption_deadline;  // when the cloud takes it back
+  bool provisioned_by_leader = false;  // provisioned by this leader
+  bool up = false;                     // has sent a message since the takeover
+  // Had bound tasks in the records at the takeover and has sent no message since.
+  bool awaiting_reconciliation = false;
+  bool listed_running = false;                 // according to the cloud's last list
+  bool listed_failed = false;                  // according to the cloud's last list
+  bool releasing = false;                      // a release was sent or is queued
+  bool cordoned = false;                       // faulty or slow: no more tasks are placed on it
+  bool draining = false;                       // its replicas are moved to other machines
+  std::optional<Instant> preemption_deadline;  // when the cloud takes the machine back
 
   // --- Failure detection
-  bool relayed = false;              // its heartbeats come through another controller
-  bool directly_reachable = false;   // it has answered a direct command since then
-  bool suspected = false;            // it misses heartbeats and does not answer
-  bool inbound_unreachable = false;  // it answers, but its heartbeats reach nobody
-  Instant heartbeat_received_at;     // when its latest heartbeat came
-  std::uint32_t failed_probes = 0;   // in a row, since it was last heard
-  Instant failing_since;             // when the first of them failed
+  bool relayed = false;  // another controller relays its heartbeats
+  // It answered the latest direct command or probe that was sent since relaying began.
+  bool directly_reachable = false;
+  bool suspected = false;            // it misses heartbeats and does not answer probes
+  bool inbound_unreachable = false;  // it answers probes, but its heartbeats reach no controller
+  Instant heartbeat_received_at;     // time of its latest heartbeat, probe answers excluded
+  std::uint32_t failed_probes = 0;   // consecutive, since its latest message
+  Instant failing_since;             // time of the first of these
   Instant next_probe_at;
 
   // --- Commands and fencing: see fencing.h
   std::uint64_t agent_epoch = 0;            // of the latest message
   std::uint64_t sequence = 0;               // of the latest message
-  std::uint32_t out_of_order_messages = 0;  // in a row, that cannot follow the latest one
+  std::uint32_t out_of_order_messages = 0;  // consecutive, not newer than the latest applied one
   FencingToken seen_token;
   FencingToken token;
   FencingToken fencing_token;
   bool command_in_flight = false;
-  bool command_deferred = false;    // commands wait until one can be sent
-  bool response_in_flight = false;  // a response with a `run` may still be on its way
+  bool command_deferred = false;    // commands are pending until one can be sent
+  bool response_in_flight = false;  // a heartbeat response with a `run` may still be in flight
   Instant next_command_at;
 
-  // --- Its tasks: changed by TaskLifecycle
-  std::vector<HeldTask> tasks;  // binding, bound or ending here
-  Resources used;               // by those that hold resources
-  std::uint32_t arrays = 0;     // how many of these belong to arrays
+  // --- Tasks: changed by TaskLifecycle
+  std::vector<HeldTask> tasks;  // those binding, bound or ending on this machine
+  Resources used;               // by tasks with holds_resources
+  std::uint32_t arrays = 0;     // how many of these tasks belong to arrays
   Instant idle_since;
-  std::vector<TaskStatus> last;  // what the latest message heartbeat_received_at
+  std::vector<TaskStatus> last;  // task statuses of the latest message
 
-  // --- What was learned
-  std::deque<CachedImage> images;  // latest first
+  // --- Estimates
+  std::deque<CachedImage> images;  // most recently used first
   std::deque<PaceSample> pace;     // the latest few
 };
 
-// Whether the machine needs no inspection until its heartbeats are late.
+// Whether the machine needs no inspection unless its heartbeats become late.
 inline bool IsHealthy(const Machine& machine) {
   return machine.up && machine.seen_token >= machine.fencing_token && !machine.relayed &&
          machine.failed_probes == 0 && !machine.cordoned && !machine.draining &&
--- a/src/scheduling/machine_table.cc
+++ b/src/scheduling/machine_table.cc
@@ -2,7 +2,7 @@
 
 namespace magpie {
 namespace {
-constexpr std::size_t kMaxReleasedRemembered = 4096;
+constexpr std::size_t kMaxReleasedIds = 4096;
 }  // namespace
 
 void MachineTable::Clear() {
@@ -42,7 +42,7 @@
 void MachineTable::RememberReleased(const MachineId& id) {
   if (!released_.insert(id).second) return;
   released_order_.push_back(id);
-  if (released_order_.size() <= kMaxReleasedRemembered) return;
+  if (released_order_.size() <= kMaxReleasedIds) return;
   released_.erase(released_order_.front());
   released_order_.pop_front();
 }
--- a/src/scheduling/machine_table.h
+++ b/src/scheduling/machine_table.h
@@ -1,8 +1,8 @@
-// The machines that the leader knows, and those that were released lately.
+// The machines known to the leader, and the ids of recently released ones.
 //
-// Invariant: each machine is found under its id and is a member of the heartbeat index. It keeps
-// its address until it is removed, since tasks and the heartbeat index point to it. A released id
-// is remembered, so that a late heartbeat or an old listing does not bring its machine back.
+// Invariant: each machine is found by its id and is a member of the heartbeat index. It keeps its
+// address until it is removed, since tasks and the heartbeat index point to it. Released ids are
+// kept, so that a late heartbeat or an outdated cloud list does not add a released machine again.
 #pragma once
 
 #include <cstddef>
@@ -22,29 +22,29 @@
 
 namespace magpie {
 
-// Not thread-safe: it belongs to one scheduler.
+// Not thread-safe: used by one scheduler.
 class MachineTable {
  public:
   using Machines = std::map<MachineId, std::unique_ptr<Machine>>;
 
-  // `late_after`: how long a machine may be silent before the index lists it as late.
+  // A machine is late if its last heartbeat is older than `late_after`.
   explicit MachineTable(Seconds late_after) : heartbeats_(late_after) {}
 
   void Clear();
-  // Null if there is no such machine.
+  // Returns null if there is no such machine.
   Machine* Find(const MachineId& id) const;
-  // Adds a machine that is not in the table yet; commands to it carry `token`.
+  // Adds a machine that is not in the table. Commands to it carry `token`.
   Machine& Add(const MachineId& id, FencingToken token, Instant now);
-  // The machine must hold no task any more.
+  // The machine must have no tasks.
   void Remove(Machine& machine);
 
-  // Remembers that the cloud has taken the machine back.
+  // Records that the machine was released.
   void RememberReleased(const MachineId& id);
   bool WasReleased(const MachineId& id) const { return released_.contains(id); }
 
-  // Counts the machine in its zone if something may run there.
+  // Counts the machine in its zone if tasks may run on it.
   void UpdateZoneCount(Machine& machine);
-  // How many machines there are of a kind; O(machines).
+  // The number of machines of a kind; O(machines).
   int CountOfKind(const MachineKind& kind) const;
 
   const Machines& all() const { return machines_; }
--- a/src/scheduling/quota_ledger.cc
+++ b/src/scheduling/quota_ledger.cc
@@ -8,7 +8,7 @@
 
 namespace magpie {
 namespace {
-constexpr double kRoundingTolerance = 1e-6;  // sums of decimals are a little off
+constexpr double kRoundingTolerance = 1e-6;  // for rounding errors in sums of decimals
 
 Resources UsageOf(const TeamUsage& usage, const std::string& team) {
   const auto it = usage.find(team);
@@ -77,11 +77,12 @@
 
 bool IsZoneAllowed(const Job& job, const std::string& zone) {
   if (job.spec.zone && *job.spec.zone != zone) return false;
-  const auto there = job.tasks_by_zone.find(zone);
-  const std::uint32_t tasks_there = there == job.tasks_by_zone.end() ? 0 : there->second;
-  // A task held in another zone, if only by an earlier leader's records, may run there.
-  if (job.spec.single_zone && job.tasks_by_zone.size() > (tasks_there > 0 ? 1U : 0U)) return false;
-  return tasks_there < MaxTasksPerZone(job.spec);
+  const auto it = job.tasks_by_zone.find(zone);
+  const std::uint32_t tasks_in_zone = it == job.tasks_by_zone.end() ? 0 : it->second;
+  // A task bound in another zone may run there, even if only an earlier leader's record has it.
+  if (job.spec.single_zone && job.tasks_by_zone.size() > (tasks_in_zone > 0 ? 1U : 0U))
+    return false;
+  return tasks_in_zone < MaxTasksPerZone(job.spec);
 }
 
 }  // namespace magpie
--- a/src/scheduling/record_loader.cc
+++ b/src/scheduling/record_loader.cc
@@ -11,9 +11,9 @@
 
 namespace magpie {
 namespace {
-// Grows from each record of a task to the next: a later attempt, then that it is over, then that
-// the task is done.
-auto AgeOf(const TaskRecord& record) {
+// Orders the records of a task: a done task after an undone one, then by attempt, then an unbound
+// attempt after a bound one. Each record that is written for a task compares greater than the last.
+auto RecordOrder(const TaskRecord& record) {
   return std::tuple(record.done, record.attempt, record.machine.value.empty());
 }
 }  // namespace
@@ -63,13 +63,14 @@
 
 void RecordLoader::LoadPage(const RecordPageKey& key, const std::vector<RecordPageEntry>& records,
                             Revision revision) {
-  const RecordPageId page = state_.record_pages.Read(key, revision);
+  const RecordPageId page = state_.record_pages.AddLoaded(key, revision);
   for (const RecordPageEntry& entry : records) {
     const std::uint32_t index = entry.task.index;
-    Job* job = state_.jobs.Find(entry.job);  // null: it is final
+    Job* job = state_.jobs.Find(entry.job);  // null: the job is final
     if (job == nullptr || index >= job->tasks.size()) continue;
     Task& task = job->tasks[index];
-    const bool later = task.page == 0 || AgeOf(entry.task) > AgeOf(RecordOf(task, index));
+    const bool later =
+        task.page == 0 || RecordOrder(entry.task) > RecordOrder(RecordOf(task, index));
     if (!later && !IsDisabled(SafetyCheck::kReadLatestRecord)) continue;
     ApplyRecord(*job, entry.task);
     state_.record_pages.Put(page, {job->serial, index}, task.page);
@@ -78,14 +79,14 @@
 
 void RecordLoader::ApplyRecord(Job& job, const TaskRecord& record) {
   Task& task = job.tasks[record.index];
-  lifecycle_.DiscardBinding(job, record.index);  // of an earlier record that was read before
+  lifecycle_.DiscardBinding(job, record.index);  // in case an earlier record was read before
   task.attempt = record.attempt;
   if (record.done) {
     task.state = TaskPhase::kDone;
     ++job.done;
     return;
   }
-  if (record.machine.value.empty()) return;  // not bound any more; only the attempt is kept
+  if (record.machine.value.empty()) return;  // unbound: the record only keeps the attempt
   Machine& machine = state_.FindOrCreateMachine(record.machine, Instant{});
   if (machine.zone.empty()) machine.zone = record.zone;
   lifecycle_.RestoreBinding(job, record.index, machine);
@@ -125,8 +126,8 @@
     state_.machines.UpdateZoneCount(*machine);
     machine->created_at = now;
     machine->idle_since = now;
-    machine->in_records = !machine->tasks.empty();
-    state_.reconciliation.machines += machine->in_records ? 1 : 0;
+    machine->awaiting_reconciliation = !machine->tasks.empty();
+    state_.reconciliation.machines += machine->awaiting_reconciliation ? 1 : 0;
   }
   state_.reconciliation.unreconciled = state_.reconciliation.machines;
 }
--- a/src/scheduling/record_loader.h
+++ b/src/scheduling/record_loader.h
@@ -1,9 +1,9 @@
-// Rebuilds jobs, tasks and machines from the durable records at a takeover, and follows changes of
-// job records later on.
+// Rebuilds jobs, tasks and machines from the durable records at a takeover, and applies later
+// changes of job records.
 //
-// Invariant: records may be read in any order, and a task may have several, in pages that were
-// written one after the other. Of two records of a task the later one counts: the one with the
-// later result, attempt or end, wherever it is stored.
+// Invariant: records may be read in any order, and a task may have several in different pages. Of
+// two records of a task the later one is used: the one with the later result, attempt or end. The
+// order of pages has no effect.
 #pragma once
 
 #include <vector>
@@ -18,22 +18,22 @@
 
 namespace magpie {
 
-// Not thread-safe: it belongs to one scheduler.
+// Not thread-safe: used by one scheduler.
 class RecordLoader {
  public:
-  // Both must outlive this object.
+  // Both arguments must outlive this object.
   RecordLoader(ClusterState& state, TaskLifecycle& lifecycle)
       : state_(state), lifecycle_(lifecycle) {}
 
-  // The job's record as of a revision; earlier revisions than the known one are ignored.
+  // Loads the job's record of a revision. Revisions older than the known one are ignored.
   void LoadJob(const JobSpec& spec, bool cancelled, Revision revision);
-  // The job was cancelled, as of the revision.
+  // The job's record shows at the revision that the job was cancelled.
   void OnJobCancelled(const JobId& id, Revision revision);
-  // The job's record was removed: the job is final.
+  // The job's record was removed at the revision, since the job is final.
   void OnJobRemoved(const JobId& id, Revision revision);
   void LoadPage(const RecordPageKey& key, const std::vector<RecordPageEntry>& records,
                 Revision revision);
-  // All records have been read.
+  // Called when all records have been read.
   void Finish(Instant now);
 
  private:
--- a/src/scheduling/record_pages.h
+++ b/src/scheduling/record_pages.h
@@ -1,10 +1,10 @@
-// Which durable page holds the latest record of each task.
+// Tracks which durable page holds the latest record of each task.
 //
-// Pages are shared by all jobs: one write of the key-value store may carry a few hundred bindings,
-// while writes per second are few. A page that is written again keeps the records that are still
-// the latest of their tasks.
+// Pages are shared by all jobs, since the key-value store allows few writes per second, but each
+// may carry a few hundred bindings. A rewritten page keeps the records that are still the latest of
+// their tasks.
 //
-// Invariant: a page's count of live records is the number of tasks whose `where` names it.
+// Invariant: a page's count of live records is the number of tasks assigned to the page by Put.
 #pragma once
 
 #include <cstdint>
@@ -21,52 +21,53 @@
 
 namespace magpie {
 
-// Not thread-safe: it belongs to one scheduler.
+// Not thread-safe: used by one scheduler.
 class RecordPages {
  public:
   using Id = RecordPageId;
-  // A task, by the serial number of its job.
+  // A task with a record in a page.
   struct Holder {
-    std::uint32_t job = 0;
+    std::uint32_t job = 0;  // serial number
     std::uint32_t index = 0;
   };
   struct Page {
     RecordPageKey key;
     Revision revision;            // 0: not written yet
-    std::uint32_t live = 0;       // records that are the latest of their task
-    std::vector<Holder> holders;  // of all its records, live or not
+    std::uint32_t live = 0;       // number of records that are the latest of their task
+    std::vector<Holder> holders;  // the tasks of all its records, live or not
   };
 
   void Clear();
-  // Adds a page that was read. Its records are added with Put.
-  Id Read(const RecordPageKey& key, Revision revision);
-  // The task's latest record is in the page; `where` is the page that had it.
-  void Put(Id page, Holder holder, Id& where);
-  // The task needs no record any more.
-  void Leave(Id& where);
+  // Adds a page that was read from the store. Its records are added with Put.
+  Id AddLoaded(const RecordPageKey& key, Revision revision);
+  // Records that the page has the task's latest record. `current` is the task's page before the
+  // call, 0 if none, and is set to `page`.
+  void Put(Id page, Holder holder, Id& current);
+  // Records that the task needs no record. `current` is the task's page and is set to 0.
+  void Unassign(Id& current);
 
-  // The shared page to write next, none of `taken`: the one with the fewest live records if these
-  // are at most `maximum`, else a new one.
-  Id Choose(std::uint32_t maximum, const std::vector<Id>& taken);
+  // Returns a shared page to write next that is not in `excluded`: the one with the fewest live
+  // records if it has at most `max_live`, else a new one.
+  Id SelectForWrite(std::uint32_t max_live, const std::vector<Id>& excluded);
   const Page& at(Id page) const { return pages_.at(page); }
-  // The page was written again: only what is Put from now on is in it.
-  void Written(Id page, Revision revision);
+  // Records that the page was rewritten: it has only the records that are Put afterwards.
+  void OnWritten(Id page, Revision revision);
 
-  // A durable page without live records that is not worth keeping, if there is one.
-  std::optional<Id> Needless() const;
-  // The page was removed from the store.
-  void Dropped(Id page);
+  // Returns a durable page to remove: one without live records that is not kept as a spare.
+  std::optional<Id> FindRemovable() const;
+  // Records that the page was removed from the store.
+  void OnRemoved(Id page);
 
  private:
-  static constexpr std::size_t kSpare = 4;  // empty shared pages that are kept for later writes
+  static constexpr std::size_t kMaxSparePages = 4;  // empty shared pages kept for later writes
   Id Add(Page page);
-  void Count(Id id, int change);
+  void ChangeLiveCount(Id id, int change);
 
   std::unordered_map<Id, Page> pages_;
-  std::set<std::pair<std::uint32_t, Id>> by_live_;  // shared pages
-  std::set<Id> empty_;  // without live records, blocks of earlier versions included
+  std::set<std::pair<std::uint32_t, Id>> by_live_;  // shared pages by number of live records
+  std::set<Id> empty_;  // pages without live records, including blocks of earlier versions
   std::size_t empty_shared_ = 0;
-  Id last_ = 0;
+  Id last_id_ = 0;
   std::uint64_t next_number_ = 1;
 };
 
--- a/src/scheduling/record_writer.cc
+++ b/src/scheduling/record_writer.cc
@@ -7,12 +7,13 @@
 
 namespace magpie {
 namespace {
-// Whoever led before, be it this process a moment ago, may have used up the budget.
-constexpr Seconds kFirstBurst{0.3};
+// A new term starts with a small budget, since the previous leader, or this process in an earlier
+// term, may just have used up the store's rate.
+constexpr Seconds kInitialBudget{0.3};
 constexpr double kMinOperations = 3;  // a job's final record takes two
-// Below this part of a second's operations, writes are scarce; above this one, plenty.
-constexpr double kScarcePart = 0.5;
-constexpr double kPlentyPart = 0.9;
+// The budget is low or high if it is below or above this fraction of a second's operations.
+constexpr double kLowBudgetFraction = 0.5;
+constexpr double kHighBudgetFraction = 0.9;
 constexpr Seconds kMaxEndDelay{2};
 constexpr Seconds kLowPriorityDelay{0.5};
 
@@ -22,7 +23,7 @@
 }  // namespace
 
 void RecordWriter::Start(Instant now) {
-  budget_ = kFirstBurst.value * state_.options.writes_per_s;
+  budget_ = kInitialBudget.value * state_.options.writes_per_s;
   budget_refilled_ = now;
 }
 
@@ -36,10 +37,10 @@
   budget_refilled_ = now;
 }
 
-// Bindings of low priority wait a little, all together, unless writes are plenty: a flood of jobs
-// of one task would take one write for each, and users' submissions would have to wait.
+// Low-priority bindings are delayed and written together unless the budget is high. Otherwise many
+// jobs of one task each would take one write per job and delay users' submissions.
 bool RecordWriter::WritesLowPriorityBindings(Instant now) const {
-  if (budget_ >= kPlentyPart * state_.options.writes_per_s) return true;
+  if (budget_ >= kHighBudgetFraction * state_.options.writes_per_s) return true;
   const auto& ids = state_.unpersisted.jobs();
   return std::any_of(ids.begin(), ids.end(), [&](const JobId& id) {
     const Job& job = *state_.jobs.Find(id);
@@ -47,13 +48,13 @@
   });
 }
 
-// Bindings first, since tasks wait for them, by priority and then by age: after many machines
-// failed, hundreds wait for a few writes per second. Then jobs that are over, which users wait for;
-// then ends of single tasks, which can wait while writes are scarce.
+// Bindings are written first, since tasks wait for them, by priority and then by age: after the
+// failure of many machines, hundreds wait for a few writes per second. Final records follow, since
+// users wait for them, then ends of single tasks, which may be delayed while the budget is low.
 std::vector<JobId> RecordWriter::WriteOrder(Instant now) const {
-  const bool scarce = budget_ < kScarcePart * state_.options.writes_per_s;
+  const bool low_budget = budget_ < kLowBudgetFraction * state_.options.writes_per_s;
   const bool writes_low_priority = WritesLowPriorityBindings(now);
-  std::vector<JobId> order;
+  std::vector<JobId> bindings;
   std::vector<JobId> finals;
   std::vector<JobId> ends;
   for (const JobId& id : state_.unpersisted.jobs()) {
@@ -64,26 +65,26 @@
     else if (BindsAtLowPriority(job) && !writes_low_priority)
       continue;
     else if (job.bindings_unpersisted || job.cancelled)
-      order.push_back(id);
-    else if (!scarce || now - job.unpersisted_since > kMaxEndDelay)
+      bindings.push_back(id);
+    else if (!low_budget || now - job.unpersisted_since > kMaxEndDelay)
       ends.push_back(id);
   }
   const auto key = [this](const JobId& id) {
     const Job& job = *state_.jobs.Find(id);
     return std::pair(-static_cast<int>(job.spec.priority), job.unpersisted_since);
   };
-  std::stable_sort(order.begin(), order.end(),
+  std::stable_sort(bindings.begin(), bindings.end(),
                    [&](const JobId& a, const JobId& b) { return key(a) < key(b); });
-  order.insert(order.end(), finals.begin(), finals.end());
-  order.insert(order.end(), ends.begin(), ends.end());
-  return order;
+  bindings.insert(bindings.end(), finals.begin(), finals.end());
+  bindings.insert(bindings.end(), ends.begin(), ends.end());
+  return bindings;
 }
 
 WriteBatch RecordWriter::NextBatch(Instant now) {
   if (!state_.term.loaded || write_in_progress_) return {};
   RefillBudget(now);
-  const auto needless_page = state_.record_pages.Needless();
-  if (state_.unpersisted.empty() && !needless_page) return {};
+  const auto removable_page = state_.record_pages.FindRemovable();
+  if (state_.unpersisted.empty() && !removable_page) return {};
   if (budget_ < kMinOperations) return {};
   WriteBatchBuilder builder(
       state_, std::min(state_.options.max_operations, static_cast<std::size_t>(budget_)));
@@ -91,7 +92,7 @@
     Job& job = *state_.jobs.Find(id);
     if (lifecycle_.IsFinal(job)) {
       if (!builder.AddFinal(job, job.cancelled ? JobOutcome::kCancelled : JobOutcome::kDone)) break;
-      job.reload_pending = true;  // nothing else is written of it
+      job.reload_pending = true;  // no further record of the job is written
       state_.unpersisted.Remove(id);
       continue;
     }
@@ -100,19 +101,19 @@
     else if (!builder.AddUnpersistedTasks(job))
       break;
     job.bindings_unpersisted = false;
-    // Discarding bindings may have made a cancelled job final: it stays marked.
+    // If discarding bindings made a cancelled job final, it stays marked for its final record.
     if (!job.cancelled || !lifecycle_.IsFinal(job)) state_.unpersisted.Remove(id);
   }
-  // Pages without live records do no harm and wait for a quiet moment.
-  if (needless_page && builder.empty() && budget_ >= kScarcePart * MaxBudget())
-    builder.AddDrop(*needless_page);
+  // Pages without live records cost only space, so they are removed when nothing else is written.
+  if (removable_page && builder.empty() && budget_ >= kLowBudgetFraction * MaxBudget())
+    builder.AddRemoval(*removable_page);
   budget_ -= static_cast<double>(builder.operations());
   write_in_progress_ = !builder.empty();
   return builder.Finish();
 }
 
-// Nothing of a cancelled job needs a record. Bindings that were never written are given up: no
-// write of one is in progress here.
+// Tasks of a cancelled job need no records. Unwritten bindings are undone at once, which is safe
+// since no write of one is in progress.
 void RecordWriter::DiscardUnwrittenBindings(Job& job, Instant now) {
   for (const std::uint32_t index : std::exchange(job.unpersisted_tasks, {})) {
     job.tasks[index].unpersisted = false;
@@ -124,7 +125,7 @@
   if (!state_.term.loaded) return;
   write_in_progress_ = false;
   for (const WriteBatch::Put& put : batch.puts) {
-    state_.record_pages.Written(put.page, revision);
+    state_.record_pages.OnWritten(put.page, revision);
     for (const RecordPageEntry& entry : put.records) {
       Job* job = state_.jobs.Find(entry.job);
       if (job == nullptr) continue;
@@ -134,7 +135,7 @@
       if (lifecycle_.IsFinal(*job)) state_.unpersisted.MarkJob(entry.job);
     }
   }
-  for (const WriteBatch::Drop& drop : batch.drops) state_.record_pages.Dropped(drop.page);
+  for (const WriteBatch::Drop& drop : batch.drops) state_.record_pages.OnRemoved(drop.page);
   for (const WriteBatch::Final& final : batch.finals) OnFinalWritten(final, now);
 }
 
@@ -181,7 +182,7 @@
 
 void RecordWriter::OnTaskRejected(Job& job, const TaskRecord& record) {
   Task& task = job.tasks[record.index];
-  // A binding that was not written never existed: nothing was sent.
+  // No command was sent for a binding that was not written.
   if (task.state == TaskPhase::kBinding && task.attempt == record.attempt && job.cancelled)
     lifecycle_.Unbind(job, record.index, task.since);
   else if (!std::exchange(task.unpersisted, true))
--- a/src/scheduling/record_writer.h
+++ b/src/scheduling/record_writer.h
@@ -1,9 +1,9 @@
-// Decides what is written to the durable records next, and what follows from the answer.
+// Selects the durable records to write next, and applies the results of writes.
 //
-// Invariant: at most one batch is in progress. A binding counts as durable, and its task may be
-// sent, only once the batch that has it was committed; a binding in a rejected batch never existed
-// outside this process. The store's budget of writes per second is shared with users' submissions,
-// so the leader keeps to its part of it.
+// Invariant: at most one batch is in progress. A binding is durable, and its task may be started,
+// only after the batch with it was committed; a binding in a rejected batch never existed outside
+// this process. The leader limits its writes to its part of the store's writes per second, since
+// users' submissions need the rest.
 #pragma once
 
 #include <vector>
@@ -14,10 +14,10 @@
 
 namespace magpie {
 
-// Not thread-safe: it belongs to one scheduler.
+// Not thread-safe: used by one scheduler.
 class RecordWriter {
  public:
-  // Both must outlive this object.
+  // Both arguments must outlive this object.
   RecordWriter(ClusterState& state, TaskLifecycle& lifecycle)
       : state_(state), lifecycle_(lifecycle) {}
 
@@ -25,10 +25,10 @@
   void Clear() { write_in_progress_ = false; }
   bool write_in_progress() const { return write_in_progress_; }
 
-  // The next batch to write; empty if there is nothing to write, or not yet.
+  // Returns the next batch to write; empty if nothing is to be written now.
   WriteBatch NextBatch(Instant now);
   void OnCommitted(const WriteBatch& batch, Revision revision, Instant now);
-  // Nothing of the batch was written or can be written later.
+  // No part of the batch was written or can still be written.
   void OnRejected(const WriteBatch& batch);
 
  private:
@@ -44,7 +44,7 @@
   ClusterState& state_;
   TaskLifecycle& lifecycle_;
   bool write_in_progress_ = false;
-  double budget_ = 0;  // operations
+  double budget_ = 0;  // operations that may be written now
   Instant budget_refilled_;
 };
 
--- a/src/scheduling/scheduler.cc
+++ b/src/scheduling/scheduler.cc
@@ -46,7 +46,7 @@
 
 void Scheduler::FinishLoad(Instant now) {
   loader_.Finish(now);
-  // Jobs of earlier terms show which classes to expect, but nothing of the rate of arrivals.
+  // Jobs of earlier terms show the job classes to expect, but not the rate of arrivals.
   for (const auto& [id, job] : state_.jobs.all()) planner_.RecordArrival(*job, 0, now);
   heartbeats_.ApplyBuffered(now);
 }
@@ -65,7 +65,7 @@
   ApplyPlanningResult(planner_.Plan(scale_out, now, wall), now);
 }
 
-// Takes in the jobs that arrived or were cancelled since the last tick.
+// Applies arrivals and cancellations of jobs since the last tick.
 void Scheduler::ApplyJobChanges(Instant now) {
   std::vector<Job*> arrived;
   for (const JobId& id : state_.jobs.TakeChanged()) {
--- a/src/scheduling/scheduler.h
+++ b/src/scheduling/scheduler.h
@@ -1,15 +1,15 @@
-// The leader's scheduler: what runs where. Events and the time go in; writes, commands and cloud
-// calls come out. It never blocks, does no I/O and has no threads: its owner calls it from one
-// thread at a time, carries out what it asks for and reports how that ended.
+// The leader's scheduler assigns tasks to machines. Its inputs are events and the time, its outputs
+// are writes, commands and cloud calls. It never blocks, does no I/O and has no threads: its owner
+// calls it from one thread at a time, carries out its outputs and passes back their results.
 //
-// Safety rests on three things and on no clock:
+// Safety depends on three rules and on no clock:
 //  - a binding (task, attempt, machine) is durable before `run` is sent (RecordWriter,
 //    CommandBuilder);
-//  - a bound task is bound again only once it can no longer start where it was (fencing.h,
-//    HeartbeatProcessor, CloudCoordinator);
+//  - a bound task is bound again only once it can no longer start on its previous machine
+//    (fencing.h, HeartbeatProcessor, CloudCoordinator);
 //  - each write is conditional on the leader's epoch and on the keys that it changes (WriteBatch).
 //
-// This class only connects the parts. ClusterState has the tables that they share.
+// This class only connects the components. ClusterState has the tables that they share.
 #pragma once
 
 #include <cstddef>
@@ -53,8 +53,8 @@
 
 namespace magpie {
 
-// Not thread-safe. Functions other than Start, Stop and the loading of records do nothing, or
-// return nothing to do, while the records are not loaded.
+// Not thread-safe. Until the records are loaded, only Start, Stop and the functions that load
+// records have an effect; others do nothing or return an empty result.
 class Scheduler {
  public:
   using Options = SchedulerOptions;
@@ -63,10 +63,10 @@
 
   // --- Leadership
 
-  // A term of leadership begins with an empty state: jobs and record pages are loaded next.
-  // `request_prefix` begins the names of the term's scale-outs; no other term may use it.
+  // Begins a term of leadership with an empty state; jobs and record pages are loaded next.
+  // `request_prefix` starts the names of the term's provisioning requests and must be unique to it.
   void Start(Revision epoch, std::string request_prefix, Instant now);
-  // The term has ended: nothing more is decided.
+  // Ends the term; no more decisions are made.
   void Stop();
   bool leading() const { return state_.term.token.value != 0; }
   bool loaded() const { return state_.term.loaded; }
@@ -81,36 +81,38 @@
                       Revision revision) {
     loader_.LoadPage(key, records, revision);
   }
-  // All records are loaded. From now on, jobs may still be added and changed by LoadJob.
+  // Called when all records are loaded. LoadJob may still add and change jobs afterwards.
   void FinishLoad(Instant now);
-  // The job's record showed at this revision that the job was cancelled.
+  // The job's record shows at the revision that the job was cancelled.
   void OnCancelled(const JobId& id, Revision revision) { loader_.OnJobCancelled(id, revision); }
-  // The job's record was removed at this revision: the job is final.
+  // The job's record was removed at the revision, since the job is final.
   void OnJobRemoved(const JobId& id, Revision revision) { loader_.OnJobRemoved(id, revision); }
-  // Whether tasks may be started now. A leader that may lack cancellations must not.
+  // Sets whether tasks may be started. A leader that may lack cancellations must not start
+  // tasks.
   void AllowTaskStarts(bool allowed) { state_.term.may_start = allowed; }
 
-  // The next batch to write; empty if there is none. It is answered by one of the next two.
+  // Returns the next batch to write; empty if there is none. Its result is passed to
+  // OnWriteCommitted or OnWriteRejected.
   WriteBatch NextWriteBatch(Instant now) { return writer_.NextBatch(now); }
   void OnWriteCommitted(const WriteBatch& batch, Revision revision, Instant now) {
     writer_.OnCommitted(batch, revision, now);
   }
-  // Nothing was written, and nothing of the batch can be written later.
+  // No part of the batch was written or can still be written.
   void OnWriteRejected(const WriteBatch& batch) { writer_.OnRejected(batch); }
 
   // --- Workers
 
-  // `relayed`: another controller passed the heartbeat on, since the worker could not reach the
+  // `relayed`: another controller relayed the heartbeat, since the worker could not reach the
   // leader.
   HeartbeatResponse OnHeartbeat(const Heartbeat& heartbeat, Instant now, bool relayed = false);
   std::optional<DirectCommand> NextDirectCommand(Instant now) { return dispatcher_.Next(now); }
-  // How many machines wait for commands.
+  // The number of machines with pending commands.
   std::size_t machines_awaiting_commands() const { return state_.commands.size(); }
-  // An empty command to a machine that was not heard for a while.
+  // Returns the next probe: a direct command without commands to a machine with late heartbeats.
   std::optional<DirectCommand> NextProbe(Instant now) { return probes_.Next(now); }
-  // Looks for machines to probe if it is time; returns how many wait for a probe.
+  // Selects machines to probe if a scan is due; returns the number of machines waiting for a probe.
   std::size_t ScanForProbes(Instant now) { return probes_.Scan(now); }
-  // How a command or a probe ended. `answer` is set only if the worker answered.
+  // Applies the result of a command or a probe. `answer` is set only if the worker answered.
   void OnDirectCommandResult(const DirectCommand& direct_command, DeliveryStatus status,
                              const std::optional<Heartbeat>& answer, Instant now) {
     dispatcher_.OnResult(direct_command, status, answer, now);
@@ -119,16 +121,16 @@
   // --- Cloud
 
   void SetTypes(std::vector<MachineType> types);
-  // The next call to make. It is answered by one of the functions below, by kind of call.
+  // Returns the next call to make. Its result is passed to one of the functions below.
   std::optional<CloudCall> NextCloudCall(Instant now) { return cloud_.NextCall(now); }
-  // The cloud may have provided fewer machines than the call asked for.
+  // `machines` may be fewer than the call requested.
   void OnProvisioned(const CloudCall& call, const std::vector<MachineId>& machines, Instant now) {
     cloud_.OnProvisioned(call, machines, now);
   }
   void OnProvisioningRefused(const CloudCall& call, Instant now) {
     cloud_.OnProvisioningRefused(call, now);
   }
-  // The call may have been carried out, or may be yet.
+  // The cloud may have executed the call, or may still do so.
   void OnProvisioningUnknown(const CloudCall& call) { cloud_.OnProvisioningUnknown(call); }
   void OnReleased(const CloudCall& call, Instant now) { cloud_.OnReleased(call, now); }
   void OnReleaseUnconfirmed(const CloudCall& call) { cloud_.OnReleaseUnconfirmed(call); }
@@ -139,25 +141,26 @@
 
   // --- Time
 
-  // Inspects machines, places tasks and plans which machines to provision and to release.
+  // Inspects machines, places tasks and plans the provisioning and release of machines.
   void Tick(Instant now, WallTime wall);
-  // Whether something happened for which Tick should be called before its time.
+  // Whether an event requires a Tick before the next regular one.
   bool wants_tick() const { return state_.signals.tick_requested; }
 
   // --- Status
 
-  // The decisions made since the last call, for the log, if Options::log_decisions is set.
+  // Returns the texts of decisions made since the last call; empty unless Options::log_decisions is
+  // set.
   std::vector<std::string> TakeDecisions() { return state_.decisions.Take(); }
-  // Machines on which something may run.
+  // The number of machines on which tasks may run.
   std::size_t ReachableMachines() const { return CountReachableMachines(state_); }
-  // None if the job is unknown or the records are not loaded yet.
+  // Returns none if the job is unknown or the records are not loaded.
   std::optional<JobProgress> GetJobProgress(const JobId& id) const;
   std::map<JobId, JobProgress> GetAllJobProgress() const { return ProgressOfAll(state_); }
   SchedulerStatus GetStatus() const { return StatusOf(state_); }
   ReconciliationProgress GetReconciliationProgress() const {
     return ReconciliationOf(state_, writer_.write_in_progress());
   }
-  // How classes and teams are served since the takeover.
+  // Service metrics by job class and by team since the takeover.
   ServiceMetrics::Table GetServiceMetrics(WallTime wall) const {
     return ServiceMetricsOf(state_, wall);
   }
@@ -167,7 +170,7 @@
   void InspectMachines(Instant now);
   void ApplyPlanningResult(const PlanningResult& result, Instant now);
 
-  // Each part may use those above it, and knows nothing of those below.
+  // Each component may depend on those above it, but not on those below.
   ClusterState state_;
   TaskLifecycle lifecycle_;
   MassFailureAlarm alarm_;
--- a/src/scheduling/scheduler_status.cc
+++ b/src/scheduling/scheduler_status.cc
@@ -52,13 +52,13 @@
 ServiceMetrics::Table ServiceMetricsOf(const ClusterState& state, WallTime wall) {
   ServiceMetrics::Table table = state.service_metrics.table();
   for (const auto& [id, job] : state.jobs.all()) {
-    const bool over = job->cancelled || job->done == job->spec.tasks;
-    if (over) continue;
-    const bool runs = ProgressOf(*job).running > 0;
+    const bool finished = job->cancelled || job->done == job->spec.tasks;
+    if (finished) continue;
+    const bool running = ProgressOf(*job).running > 0;
     for (ServiceMetrics::Row* row :
          {&table.classes[job->spec.job_class], &table.teams[job->spec.team]}) {
       ++row->open;
-      if (!runs) ++row->waiting;
+      if (!running) ++row->waiting;
       if (!job->pending.empty())
         row->oldest_wait = std::max(row->oldest_wait, wall - job->spec.submitted);
     }
--- a/src/scheduling/scheduler_status.h
+++ b/src/scheduling/scheduler_status.h
@@ -1,4 +1,4 @@
-// What the scheduler reports of its state, for users, operators and the log.
+// Status of the scheduler, for users, operators and the log.
 #pragma once
 
 #include <cstddef>
@@ -14,25 +14,25 @@
 struct ClusterState;
 struct Job;
 
-// How many tasks of a job have come how far.
+// Numbers of a job's tasks.
 struct JobProgress {
-  std::uint32_t done = 0;     // tasks
-  std::uint32_t running = 0;  // tasks
+  std::uint32_t done = 0;
+  std::uint32_t running = 0;
 };
 
-// How far the comparison of machines with the records has come since the takeover.
+// Progress of the comparison of durable records with heartbeats after a takeover.
 struct ReconciliationProgress {
-  std::size_t machines = 0;           // that held tasks by the records at the takeover
-  std::size_t reconciled = 0;         // heard of or removed since
-  std::uint64_t commands_issued = 0;  // commands given to workers
-  bool idle = false;                  // no command and no write waits
+  std::size_t machines = 0;           // machines with bound tasks in the records at the takeover
+  std::size_t reconciled = 0;         // of these, with a heartbeat or a removal since
+  std::uint64_t commands_issued = 0;  // commands issued to workers
+  bool idle = false;                  // no command and no write is pending
 };
 
-// Counts of what the scheduler has.
+// Numbers of jobs, tasks and machines, and counters of work.
 struct SchedulerStatus {
-  std::size_t jobs = 0;     // that are not over
-  std::size_t pending = 0;  // tasks
-  std::size_t bound = 0;    // tasks
+  std::size_t jobs = 0;     // jobs that are not final
+  std::size_t pending = 0;  // pending tasks
+  std::size_t bound = 0;    // tasks that are binding, bound or ending
   std::size_t machines_up = 0;
   std::size_t machines_starting = 0;
   // Work since the takeover:
@@ -43,11 +43,11 @@
 
 JobProgress ProgressOf(const Job& job);
 std::map<JobId, JobProgress> ProgressOfAll(const ClusterState& state);
-// Machines on which something may run.
+// The number of machines on which tasks may run.
 std::size_t CountReachableMachines(const ClusterState& state);
 ReconciliationProgress ReconciliationOf(const ClusterState& state, bool write_in_progress);
 SchedulerStatus StatusOf(const ClusterState& state);
-// How classes and teams are served since the takeover.
+// Service metrics by job class and by team since the takeover.
 ServiceMetrics::Table ServiceMetricsOf(const ClusterState& state, WallTime wall);
 
 }  // namespace magpie
--- a/src/scheduling/task_lifecycle.cc
+++ b/src/scheduling/task_lifecycle.cc
@@ -8,7 +8,7 @@
 
 namespace magpie {
 
-void TaskLifecycle::TakeMachine(Job& job, std::uint32_t index, Machine& machine) {
+void TaskLifecycle::AssignToMachine(Job& job, std::uint32_t index, Machine& machine) {
   Task& task = job.tasks[index];
   task.machine = &machine;
   task.holds_resources = true;
@@ -25,7 +25,7 @@
   state_.signals.MarkChanged();
 }
 
-void TaskLifecycle::LeaveMachine(Job& job, std::uint32_t index) {
+void TaskLifecycle::RemoveFromMachine(Job& job, std::uint32_t index) {
   Task& task = job.tasks[index];
   Machine& machine = *task.machine;
   std::erase_if(machine.tasks,
@@ -39,7 +39,6 @@
   state_.signals.MarkChanged();
 }
 
-// What the task took of its machine is free again.
 void TaskLifecycle::FreeResources(const Job& job, Task& task) {
   if (!task.holds_resources || task.machine == nullptr) return;
   task.holds_resources = false;
@@ -61,14 +60,14 @@
   task.overrun_counted = false;
   task.start_observed = true;
   task.since = now;
-  TakeMachine(job, index, machine);
+  AssignToMachine(job, index, machine);
   state_.unpersisted.MarkTask(job, index, now);
   job.bindings_unpersisted = true;
   if (state_.decisions.enabled())
-    state_.decisions.Add("bind " + job.spec.id.value + "/" + std::to_string(index) + " of " +
-                         job.spec.job_class + ", attempt " + std::to_string(task.attempt.value) +
-                         ", to " + machine.id.value +
-                         (HasImage(machine, job.image) ? "" : " (image to fetch)"));
+    state_.decisions.Add(
+        "bind task=" + job.spec.id.value + "/" + std::to_string(index) +
+        " class=" + job.spec.job_class + " attempt=" + std::to_string(task.attempt.value) +
+        " machine=" + machine.id.value + (HasImage(machine, job.image) ? "" : " fetch_image=true"));
 }
 
 void TaskLifecycle::Unbind(Job& job, std::uint32_t index, Instant now) {
@@ -76,7 +75,7 @@
   state_.overdue.Remove(job, index);
   if (task.machine != nullptr) {
     Machine& machine = *task.machine;
-    LeaveMachine(job, index);
+    RemoveFromMachine(job, index);
     if (machine.tasks.empty()) machine.used = {};
     machine.idle_since = now;
   }
@@ -87,7 +86,7 @@
   }
   state_.signals.RequestTick();
   if (state_.decisions.enabled())
-    state_.decisions.Add("unbind " + job.spec.id.value + "/" + std::to_string(index));
+    state_.decisions.Add("unbind task=" + job.spec.id.value + "/" + std::to_string(index));
   task.state = TaskPhase::kPending;
   if (!job.cancelled) {
     job.pending.push_front(index);
@@ -107,13 +106,13 @@
   Task& task = job.tasks[index];
   task.state = TaskPhase::kBound;
   task.stop_requested = job.cancelled;
-  TakeMachine(job, index, machine);
+  AssignToMachine(job, index, machine);
 }
 
 void TaskLifecycle::DiscardBinding(Job& job, std::uint32_t index) {
   Task& task = job.tasks[index];
   if (task.machine == nullptr) return;
-  LeaveMachine(job, index);
+  RemoveFromMachine(job, index);
   task.state = TaskPhase::kPending;
 }
 
@@ -128,7 +127,7 @@
   if (++job.done == job.spec.tasks) state_.quotas.DropClaim(job);
   FreeResources(job, task);
   if (task.machine != nullptr && IsDisabled(SafetyCheck::kQuotaUntilDurable))
-    LeaveMachine(job, index);
+    RemoveFromMachine(job, index);
   state_.signals.RequestTick();
   state_.unpersisted.MarkTask(job, index, now);
 }
@@ -164,7 +163,7 @@
   for (std::uint32_t index = 0; index < job.tasks.size(); ++index) {
     Task& task = job.tasks[index];
     if (task.machine == nullptr) continue;
-    if (task.state == TaskPhase::kEnding) {  // it has ended, which is not durable yet
+    if (task.state == TaskPhase::kEnding) {  // it has ended, so there is no attempt to stop
       Unbind(job, index, task.since);
       continue;
     }
--- a/src/scheduling/task_records.cc
+++ b/src/scheduling/task_records.cc
@@ -10,7 +10,7 @@
   record.index = index;
   record.attempt = task.attempt;
   record.done = task.state == TaskPhase::kEnding || task.state == TaskPhase::kDone;
-  // A task that is not bound keeps its attempt, so that attempts go on growing.
+  // An unbound task keeps its attempt number, so that later attempts get higher numbers.
   if (record.done || task.machine == nullptr) return record;
   record.machine = task.machine->id;
   record.zone = task.machine->zone;
--- a/src/scheduling/task_records.h
+++ b/src/scheduling/task_records.h
@@ -1,4 +1,4 @@
-// The durable record of a task, from its state.
+// Builds the durable record of a task from its state.
 #pragma once
 
 #include <cstdint>
@@ -9,12 +9,12 @@
 
 namespace magpie {
 
-// The record that says what the task is now.
+// The record of the task's current state.
 TaskRecord RecordOf(const Task& task, std::uint32_t index);
 
-// What may be written of a task along with other tasks that share its page; none if it needs no
-// record. It never adds a binding, since the job may have been cancelled meanwhile, and the write
-// is conditional only on the jobs that have something new.
+// The record to keep when the task's page is rewritten for other tasks; none if the task needs no
+// record. It never has a binding that is not durable yet: the job may have been cancelled, and the
+// write is conditional only on the jobs whose tasks are updated by it.
 std::optional<TaskRecord> DurableRecordOf(const Task& task, std::uint32_t index);
 
 }  // namespace magpie
--- a/src/scheduling/task_status_processor.cc
+++ b/src/scheduling/task_status_processor.cc
@@ -7,11 +7,11 @@
 
 namespace magpie {
 namespace {
-// How long a job waits after a worker could not start a task of it.
-constexpr Seconds kUnknownTaskDelay{2};  // its description has not reached the worker yet
-constexpr Seconds kNoRoomDelay{0.5};
+// Delays before the next placement of a job after a worker refused to start one of its tasks.
+constexpr Seconds kUnknownTaskDelay{2};  // the worker has not received its description yet
+constexpr Seconds kInsufficientCapacityDelay{0.5};
 
-// Whether a task in this state has its image on the machine.
+// Whether the task's image is in the machine's cache, judged by the task's status.
 bool HasFetchedImage(const TaskStatus& status) {
   return status.state != TaskState::kFetching &&
          status.reason != ExitReason::kInsufficientCapacity &&
@@ -49,11 +49,11 @@
                                       Instant now) {
   const std::uint32_t index = status.task.index;
   Task& task = job.tasks[index];
-  if (task.result_unconfirmed) return;  // started again; it ends as soon as it has its image
+  if (task.result_unconfirmed) return;  // started again: ends as soon as its image is fetched
   const bool running = status.state == TaskState::kRunning;
   const bool started = running && !task.running;
   if (started) task.since = now;
-  if (started && !std::exchange(job.begun, true))
+  if (started && !std::exchange(job.has_started, true))
     state_.service_metrics.Count(job.spec, &ServiceMetrics::Row::started);
   task.running = running;
   if (started) slow_machines_.OnStarted(job, index);
@@ -64,17 +64,18 @@
         state_.failure_attribution.OnTaskRunning(job.serial, machine.id, now - task.since));
 }
 
-// While the worker lists the attempt as ended, a late `run` of it does nothing; and the worker is
-// made to forget it only once no such command is in flight (CommandBuilder).
+// It is safe to unbind an attempt that the worker lists as ended: while it is listed, a delayed
+// `run` of it has no effect, and the worker is told to forget it only when no such command is in
+// flight (CommandBuilder).
 void TaskStatusProcessor::ApplyEnded(Machine& machine, Job& job, const TaskStatus& status,
                                      Instant now) {
   const std::uint32_t index = status.task.index;
   const Task& task = job.tasks[index];
   if (task.state == TaskPhase::kEnding) return;
-  // The end may be from before this term. A result stays a result, but its quota may not be given
-  // away while the attempt may be running again. It is kept until the worker reports the result
-  // anew, within moments as a rule, since the leader's token is new to it, or until the attempt is
-  // over in another way.
+  // The end may be from before this term, and the attempt may be running again. A result remains
+  // valid, but its quota must not be reused while the attempt may run. So the task stays bound
+  // until the worker, having seen this term's token, repeats the result, usually in its next
+  // message, or until the attempt is proved to have ended in another way.
   if (machine.seen_token < state_.term.token && !IsDisabled(SafetyCheck::kEndBeforeThisEpoch)) {
     if (status.reason == ExitReason::kDone && task.state == TaskPhase::kBound && !job.cancelled)
       lifecycle_.SetResultUnconfirmed(job, index);
@@ -92,7 +93,7 @@
       job.not_before = now + kUnknownTaskDelay;
       break;
     case ExitReason::kInsufficientCapacity:
-      job.not_before = now + kNoRoomDelay;
+      job.not_before = now + kInsufficientCapacityDelay;
       break;
     case ExitReason::kNone:
     case ExitReason::kStopped:
@@ -116,7 +117,7 @@
   for (const MachineId& id : verdict.faulty) {
     Machine* machine = state_.machines.Find(id);
     if (machine == nullptr || std::exchange(machine->cordoned, true)) continue;
-    state_.decisions.Add("faulty " + id.value);
+    state_.decisions.Add("cordon reason=faulty machine=" + id.value);
     state_.machines.heartbeats().Watch(*machine);
     state_.signals.RequestInspection();
   }
--- a/src/scheduling/task_status_processor.h
+++ b/src/scheduling/task_status_processor.h
@@ -1,9 +1,9 @@
-// Applies what a worker reports of its tasks.
+// Applies the task statuses in a worker's messages.
 //
-// A result counts whichever attempt brought it, as long as no other attempt is on a machine. Any
-// other end counts only for the attempt that is bound there, and only if the worker has seen a
-// token of this term: what ended before may have been forgotten, or lost with its agent epoch, and
-// have been started again as the same attempt, and the message may be a late copy.
+// A result is accepted from any attempt, provided that no other attempt is bound to a machine. Any
+// other end is accepted only for the attempt bound to the sender, and only if the worker has seen a
+// token of this term. Otherwise the message may be a delayed copy, and the worker may have started
+// the same attempt again after a forget command or in a new agent epoch.
 #pragma once
 
 #include <cstdint>
@@ -17,10 +17,10 @@
 
 namespace magpie {
 
-// Not thread-safe: it belongs to one scheduler.
+// Not thread-safe: used by one scheduler.
 class TaskStatusProcessor {
  public:
-  // All must outlive this object.
+  // All arguments must outlive this object.
   TaskStatusProcessor(ClusterState& state, TaskLifecycle& lifecycle,
                       SlowMachineDetector& slow_machines)
       : state_(state), lifecycle_(lifecycle), slow_machines_(slow_machines) {}
@@ -32,7 +32,7 @@
   void ApplyActive(Machine& machine, Job& job, const TaskStatus& status, Instant now);
   void ApplyEnded(Machine& machine, Job& job, const TaskStatus& status, Instant now);
   void ApplyCompleted(Machine& machine, Job& job, std::uint32_t index, Instant now);
-  // Machines found faulty get no more work.
+  // Cordons machines that were found faulty.
   void ApplyVerdict(const FailureAttribution::Verdict& verdict);
 
   ClusterState& state_;
--- a/src/scheduling/unpersisted_records.h
+++ b/src/scheduling/unpersisted_records.h
@@ -1,8 +1,8 @@
-// Which jobs have something that the durable records do not show yet.
+// The jobs with state that is not in the durable records yet.
 //
 // Invariant: a task that is marked unpersisted is in its job's list of unpersisted tasks exactly
-// once, and its job is here unless a write of it is in progress or its job record is being
-// reloaded.
+// once, and its job is in this set unless a write of the task is in progress or the job's record is
+// being reloaded.
 #pragma once
 
 #include <cstdint>
@@ -14,13 +14,13 @@
 
 namespace magpie {
 
-// Not thread-safe: it belongs to one scheduler.
+// Not thread-safe: used by one scheduler.
 class UnpersistedRecords {
  public:
   void Clear() { jobs_.clear(); }
-  // The task's record has to be written.
+  // The task's record must be written.
   void MarkTask(Job& job, std::uint32_t index, Instant now);
-  // The job has to be considered for the next write: for a task of it, or for its final record.
+  // The next write must consider the job, for one of its tasks or for its final record.
   void MarkJob(const JobId& id) { jobs_.insert(id); }
   void Remove(const JobId& id) { jobs_.erase(id); }
   bool empty() const { return jobs_.empty(); }
--- a/src/scheduling/write_batch_builder.cc
+++ b/src/scheduling/write_batch_builder.cc
@@ -12,8 +12,8 @@
 constexpr std::size_t kConditionsPerOperation = 4;
 constexpr std::size_t kLongRecordBytes = 128;
 
-// Upper bound of what the task's record takes, with its job's id if it is the first of the job.
-std::size_t MaxBytesOf(const JobId& job, const TaskRecord& record) {
+// Upper bound of the size of the task's record, including the job's id if it is the job's first.
+std::size_t MaxRecordBytes(const JobId& job, const TaskRecord& record) {
   constexpr std::size_t kRecordBytes = 48;
   constexpr std::size_t kJobBytes = 8;
   return kRecordBytes + record.machine.value.size() + record.zone.size() + job.value.size() +
@@ -36,7 +36,7 @@
   return !batch_.puts.empty() && page_bytes_left_ >= bytes;
 }
 
-void WriteBatchBuilder::TakeBytes(std::size_t bytes) {
+void WriteBatchBuilder::ConsumeBytes(std::size_t bytes) {
   bytes_left_ -= std::min(bytes_left_, bytes);
 }
 
@@ -56,11 +56,11 @@
   for (const std::uint32_t index : job.unpersisted_tasks) {
     Task& task = job.tasks[index];
     const TaskRecord record = RecordOf(task, index);
-    const std::size_t bytes = MaxBytesOf(job.spec.id, record);
+    const std::size_t bytes = MaxRecordBytes(job.spec.id, record);
     if (!HasSpaceInPage(bytes) && (!AddPage() || !HasSpaceInPage(bytes))) break;
     batch_.puts.back().records.push_back({job.spec.id, record});
     page_bytes_left_ -= bytes;
-    TakeBytes(bytes);
+    ConsumeBytes(bytes);
     task.unpersisted = false;
     task.planned = true;
     ++added;
@@ -72,16 +72,17 @@
   return job.unpersisted_tasks.empty();
 }
 
-// Adds the page that costs least to write again; returns false if there is no space for one.
+// Adds the page with the lowest cost of rewriting; returns false if the batch has no space for one.
 bool WriteBatchBuilder::AddPage() {
-  constexpr std::size_t kKeptPart = 4;  // of a page, at most, is taken by what it must keep
+  constexpr std::size_t kMaxKeptDivisor = 4;  // kept records take at most 1/4 of a page
   const std::size_t max_page_bytes = state_.options.max_page_bytes;
   if (!HasSpaceFor(1, 2)) return false;
   if (!batch_.puts.empty() && bytes_left_ < max_page_bytes) return false;
-  std::vector<RecordPageId> taken;
-  for (const WriteBatch::Put& put : batch_.puts) taken.push_back(put.page);
-  const auto max_kept = static_cast<std::uint32_t>(max_page_bytes / kKeptPart / kLongRecordBytes);
-  const RecordPageId id = state_.record_pages.Choose(max_kept, taken);
+  std::vector<RecordPageId> excluded;
+  for (const WriteBatch::Put& put : batch_.puts) excluded.push_back(put.page);
+  const auto max_kept =
+      static_cast<std::uint32_t>(max_page_bytes / kMaxKeptDivisor / kLongRecordBytes);
+  const RecordPageId id = state_.record_pages.SelectForWrite(max_kept, excluded);
   const RecordPages::Page& page = state_.record_pages.at(id);
   WriteBatch::Put put{id, page.key, page.revision, 0, {}};
   const std::size_t bytes = KeepLiveRecords(put);
@@ -90,11 +91,11 @@
   ++conditions_;
   const std::size_t left = std::min(max_page_bytes, bytes_left_);
   page_bytes_left_ = left - std::min(left, bytes);
-  TakeBytes(bytes);
+  ConsumeBytes(bytes);
   return true;
 }
 
-// Puts what the page must keep into it; returns its size in bytes.
+// Adds the records that the page must keep; returns their size in bytes.
 std::size_t WriteBatchBuilder::KeepLiveRecords(WriteBatch::Put& put) {
   std::size_t bytes = 0;
   for (const RecordPages::Holder& holder : state_.record_pages.at(put.page).holders) {
@@ -105,16 +106,16 @@
     const auto record = DurableRecordOf(task, holder.index);
     if (!record) continue;
     task.planned = true;
-    bytes += MaxBytesOf(job->spec.id, *record);
+    bytes += MaxRecordBytes(job->spec.id, *record);
     put.records.push_back({job->spec.id, *record});
   }
   put.rewritten = put.records.size();
   return bytes;
 }
 
-void WriteBatchBuilder::AddDrop(RecordPageId page) {
-  const RecordPages::Page& dropped = state_.record_pages.at(page);
-  batch_.drops.push_back({page, dropped.key, dropped.revision});
+void WriteBatchBuilder::AddRemoval(RecordPageId page) {
+  const RecordPages::Page& removed = state_.record_pages.at(page);
+  batch_.drops.push_back({page, removed.key, removed.revision});
   ++operations_;
 }
 
--- a/src/scheduling/write_batch_builder.h
+++ b/src/scheduling/write_batch_builder.h
@@ -1,8 +1,8 @@
-// Fills one write batch within its limits of operations, conditions and bytes.
+// Builds one write batch within limits on operations, conditions and bytes.
 //
 // Invariant: a task is marked planned while the batch under construction has its record, so that a
-// page that is written again does not get it twice. A page in the batch keeps the durable records
-// of all tasks whose latest record it holds.
+// rewritten page does not get the record twice. A page in the batch keeps the durable records of
+// all tasks whose latest record it has.
 #pragma once
 
 #include <cstddef>
@@ -12,22 +12,23 @@
 
 namespace magpie {
 
-// Builds one batch and is used once. Not thread-safe: it belongs to one scheduler.
+// Builds one batch; not reusable. Not thread-safe: used by one scheduler.
 class WriteBatchBuilder {
  public:
-  // Both must outlive the builder.
+  // `state` must outlive the builder.
   WriteBatchBuilder(ClusterState& state, std::size_t max_operations);
 
-  // Adds the job's final record; returns false if there is no space.
+  // Adds the job's final record; returns false if the batch has no space for it.
   bool AddFinal(const Job& job, JobOutcome outcome);
-  // Adds the job's unpersisted tasks, as many as there is space for; returns whether these are all.
+  // Adds as many of the job's unpersisted tasks as the batch has space for; returns whether all
+  // were added.
   bool AddUnpersistedTasks(Job& job);
-  // Removes a page without live records, if nothing else is written.
-  void AddDrop(RecordPageId page);
+  // Adds the removal of a page without live records. The batch must have no other changes.
+  void AddRemoval(RecordPageId page);
 
   bool empty() const { return batch_.empty(); }
   std::size_t operations() const { return operations_; }
-  // Ends the construction; the builder must not be used any more.
+  // Returns the batch. The builder must not be used afterwards.
   WriteBatch Finish();
 
  private:
@@ -35,7 +36,7 @@
   bool HasSpaceInPage(std::size_t bytes) const;
   bool AddPage();
   std::size_t KeepLiveRecords(WriteBatch::Put& put);
-  void TakeBytes(std::size_t bytes);
+  void ConsumeBytes(std::size_t bytes);
 
   ClusterState& state_;
   WriteBatch batch_;
@@ -44,7 +45,7 @@
   std::size_t operations_ = 0;
   std::size_t conditions_;
   std::size_t bytes_left_;
-  std::size_t page_bytes_left_ = 0;  // of the last page
+  std::size_t page_bytes_left_ = 0;  // in the last page of the batch
 };
 
 }  // namespace magpie
--- a/tests/job_builder.h
+++ b/tests/job_builder.h
@@ -1,4 +1,4 @@
-// A job of two-CPU tasks, as the stories and the benchmark know it.
+// Builds a job of two-CPU tasks, for tests and benchmarks.
 #pragma once
 
 #include <string>
@@ -8,16 +8,16 @@
 namespace magpie::testing {
 
 inline JobSpec MakeJob(const std::string& id, std::uint32_t tasks = 1) {
-  JobSpec s;
-  s.id = {id};
-  s.job_class = "sums";
-  s.team = "red";
-  s.tasks = tasks;
-  s.per_task = {2, 0, 4};
-  s.image = "img-1";
-  s.image_gb = 1;
-  s.estimate = {30};
-  return s;
+  JobSpec spec;
+  spec.id = {id};
+  spec.job_class = "sums";
+  spec.team = "red";
+  spec.tasks = tasks;
+  spec.per_task = {2, 0, 4};
+  spec.image = "img-1";
+  spec.image_gb = 1;
+  spec.estimate = {30};
+  return spec;
 }
 
 }  // namespace magpie::testing
--- a/tests/job_progress_test.cc
+++ b/tests/job_progress_test.cc
@@ -1,4 +1,4 @@
-// Jobs that could run must not wait behind reservations or in the wrong zone.
+// Jobs that could run must not be held up by reservations or by the choice of a zone.
 #include <gtest/gtest.h>
 
 #include "test_cluster.h"
@@ -8,18 +8,19 @@
 
 class JobProgressTest : public ClusterTest {
  protected:
+  // Occupies machines of the zone with tasks that are not preempted.
   void Fill(TestController& node, const std::string& job, const std::string& zone,
             std::uint32_t tasks, double cpus, Seconds estimate) {
     JobSpec spec = MakeJob(job, tasks);
     spec.per_task.cpus = cpus;
     spec.zone = zone;
     spec.estimate = estimate;
-    spec.priority = Priority::kProduction;  // nothing stops it
+    spec.priority = Priority::kProduction;
     Run(node, spec);
     Settle(node);
   }
-  // Until then, with the cloud refusing every rental.
-  void WaitRefused(TestController& node, int seconds) {
+  // Runs the cluster for a time in which the cloud refuses all provisioning.
+  void WaitWithoutProvisioning(TestController& node, int seconds) {
     for (int i = 0; i < seconds; ++i) {
       AdvanceTime(1);
       Settle(node, 1);
@@ -28,9 +29,9 @@
   }
 };
 
-// A job of the team waits for a machine of its zone that is taken for minutes. Its place in the
-// queue held the team's quota all that time, and another of the team's jobs waited beside an
-// idle machine, with the team using nothing.
+// A job waits for a machine in its zone that is occupied for minutes. Its reservation held the
+// team's quota meanwhile, so another job of the team was not placed on an idle machine although the
+// team used nothing.
 TEST_F(JobProgressTest, DistantReservationHoldsNoQuota) {
   AddWorker("m-1", "large", "a");
   FakeWorker& idle = AddWorker("m-2", "large", "b");
@@ -39,28 +40,28 @@
   Settle(node);
   Fill(node, "j-9", "a", 8, 2, {600});
   ASSERT_EQ(CountLiveTasks(), 8U);
-  JobSpec bound = MakeJob("j-1", 3);
-  bound.team = "blue";
-  bound.zone = "a";
-  bound.priority = Priority::kHigh;
-  bound.deadline = Seconds{5000};  // so that it is in time all the same
-  Run(node, bound);
-  JobSpec free = MakeJob("j-2", 1);
-  free.team = "blue";
-  free.zone = "b";
-  Run(node, free);
-  WaitRefused(node, 20);
+  JobSpec reserved = MakeJob("j-1", 3);
+  reserved.team = "blue";
+  reserved.zone = "a";
+  reserved.priority = Priority::kHigh;
+  reserved.deadline = Seconds{5000};  // met even after the wait
+  Run(node, reserved);
+  JobSpec placeable = MakeJob("j-2", 1);
+  placeable.team = "blue";
+  placeable.zone = "b";
+  Run(node, placeable);
+  WaitWithoutProvisioning(node, 20);
   EXPECT_TRUE(idle.HasLiveTask({{"j-2"}, 0}));
-  // As the other ends, the one that waited has its turn, within the limit.
+  // After both other jobs end, the waiting job is placed within the quota.
   idle.EndAll(ExitReason::kDone);
   workers_.front().EndAll(ExitReason::kDone);
-  WaitRefused(node, 5);
+  WaitWithoutProvisioning(node, 5);
   EXPECT_EQ(CountLiveTasks(), 3U);
 }
 
-// A job's tasks may be spread, and one zone has all that it may hold. A machine was planned where
-// one costs least, in that very zone, and none was rented.
-TEST_F(JobProgressTest, MachineIsRentedInTheZoneThatTheJobHasLeft) {
+// One zone has the maximum number of tasks of a job with spread. The planner chose the cheapest
+// zone for a new machine, which was the full one, so no machine was provisioned.
+TEST_F(JobProgressTest, MachineIsProvisionedInZoneAllowedBySpread) {
   AddWorker("m-1", "large", "a");
   for (int i = 2; i < 5; ++i) AddWorker("m-" + std::to_string(i), "large", "b");
   TestController& node = AddController("n0");
--- a/tests/quick_restart_test.cc
+++ b/tests/quick_restart_test.cc
@@ -1,5 +1,5 @@
-// A process or a machine that ended is back at once, before any lease has ended and
-// before anybody has noticed; what it had sent may still arrive.
+// A controller process or a machine restarts at once, before any lease expires and before its
+// failure is detected. Messages that it sent before the restart may still arrive.
 #include "test_cluster.h"
 
 namespace magpie::testing {
@@ -9,143 +9,145 @@
 
 class QuickRestartTest : public ClusterTest {
  protected:
-  // Carries out commands, and ends the controller at the one that is due: it was sent
-  // and done, or not sent, or arrives later.
-  void DirectCommand(TestController& node) {
+  // Delivers direct commands and probes. The controller crashes at the command that
+  // commands_until_crash selects: the fault decides whether that command is executed, lost or late.
+  void DeliverDirectCommands(TestController& node) {
     while (auto direct_command = node.core.NextDirectCommand(now)) {
-      FakeWorker& w = WorkerOf(direct_command->machine);
-      if (pushes_until_end >= 0 && pushes_until_end-- == 0) {
-        if (store.crash_fault == Fault::kLoseResponse) w.Take(*direct_command);
-        if (store.crash_fault == Fault::kCommitLate) late_.push_back(*direct_command);
+      FakeWorker& worker = WorkerOf(direct_command->machine);
+      if (commands_until_crash >= 0 && commands_until_crash-- == 0) {
+        if (store.crash_fault == Fault::kLoseResponse) worker.Take(*direct_command);
+        if (store.crash_fault == Fault::kCommitLate) delayed_commands_.push_back(*direct_command);
         throw FakeStore::Crashed{};
       }
-      w.Take(*direct_command);
-      node.core.OnDirectCommandResult(*direct_command, DeliveryStatus::kAnswered, w.Snapshot(),
+      worker.Take(*direct_command);
+      node.core.OnDirectCommandResult(*direct_command, DeliveryStatus::kAnswered, worker.Snapshot(),
                                       now);
     }
     while (auto probe = node.core.NextProbe(now)) {
-      FakeWorker& w = WorkerOf(probe->machine);
-      w.Take(*probe);
-      node.core.OnDirectCommandResult(*probe, DeliveryStatus::kAnswered, w.Snapshot(), now);
+      FakeWorker& worker = WorkerOf(probe->machine);
+      worker.Take(*probe);
+      node.core.OnDirectCommandResult(*probe, DeliveryStatus::kAnswered, worker.Snapshot(), now);
     }
   }
 
   FakeWorker& WorkerOf(const MachineId& id) {
     return *std::find_if(workers_.begin(), workers_.end(),
-                         [&](const FakeWorker& w) { return w.id() == id; });
+                         [&](const FakeWorker& worker) { return worker.id() == id; });
   }
 
   void Round(TestController& node) {
     node.core.Tick(now, wall);
     while (node.WriteOnce(now)) Check();
-    DirectCommand(node);
+    DeliverDirectCommands(node);
     Check();
-    for (FakeWorker& w : workers_) Heartbeat(node, w);
+    for (FakeWorker& worker : workers_) Heartbeat(node, worker);
     Check();
     AdvanceTime(0.3);
   }
 
-  // The rules, as far as this world can break them.
+  // Checks that no task runs twice and that the team's quota is kept.
   void Check() {
     std::map<TaskId, int> live;
-    double blue = 0;
-    for (const FakeWorker& w : workers_)
+    double blue_cpus = 0;
+    for (const FakeWorker& worker : workers_)
       for (const auto& [job, tasks] : jobs_)
         for (std::uint32_t i = 0; i < tasks; ++i)
-          if (w.HasLiveTask(TaskOf(job, i))) {
+          if (worker.HasLiveTask(TaskOf(job, i))) {
             EXPECT_EQ(++live[TaskOf(job, i)], 1) << job << "/" << i << " runs twice";
-            if (job == "j-2") blue += 2;
+            if (job == "j-2") blue_cpus += 2;
           }
-    EXPECT_LE(blue, 6) << "the team's limit";
+    EXPECT_LE(blue_cpus, 6) << "the team's quota";
     ++checks_;
   }
 
-  void EndSome(int round) {
-    for (FakeWorker& w : workers_)
+  // Completes every third task, starting from one that depends on the round.
+  void CompleteSomeTasks(int round) {
+    for (FakeWorker& worker : workers_)
       for (const auto& [job, tasks] : jobs_)
         for (std::uint32_t i = 0; i < tasks; ++i)
           if ((i + static_cast<std::uint32_t>(round)) % 3 == 0)
-            w.End(TaskOf(job, i), ExitReason::kDone);
+            worker.End(TaskOf(job, i), ExitReason::kDone);
   }
 
-  // From an empty cell to the end of all jobs, ending the leader at every point that is
-  // set beforehand. Returns how often it ended.
-  int Play(const std::vector<int>& ends, bool at_commits) {
+  // Runs an empty cluster until all jobs are done. The leader crashes and restarts at the points
+  // given by `crashes`: each counts commits or direct commands since the previous one. Returns the
+  // number of crashes.
+  int RunWithCrashes(const std::vector<int>& crashes, bool at_commits) {
     store = FakeStore{};
     store.crash_fault = fault_;
     controllers_.clear();
     workers_.clear();
-    late_.clear();
+    delayed_commands_.clear();
     now = {100};
     for (int i = 0; i < 4; ++i) AddWorker("m-" + std::to_string(i), "small", i < 2 ? "a" : "b");
     jobs_ = {{"j-1", 5}, {"j-2", 5}};
     std::size_t next = 0;
-    const auto arm = [&] {
-      const int at = next < ends.size() ? ends[next] : -1;
-      (at_commits ? store.commits_until_crash : pushes_until_end) = at;
+    const auto set_next_crash = [&] {
+      const int at = next < crashes.size() ? crashes[next] : -1;
+      (at_commits ? store.commits_until_crash : commands_until_crash) = at;
     };
-    arm();
-    int ended = 0;
+    set_next_crash();
+    int crash_count = 0;
     TestController* node = nullptr;
-    const auto over = [&](const std::string& state) { return state == "done"; };
+    const auto is_done = [&](const std::string& state) { return state == "done"; };
     for (int round = 0; round < 80; ++round) {
       try {
-        if (node == nullptr) node = &Again("n0");
+        if (node == nullptr) node = &RestartController("n0");
         if (!node->core.leading() && !node->TakeOver(now)) continue;
         for (const auto& [job, tasks] : jobs_) {
           JobSpec spec = MakeJob(job, tasks);
           if (job == "j-2") spec.team = "blue";
-          Submit(*node, spec);  // repeated until the end, as users may
+          Submit(*node, spec);  // repeated in every round, as users may do
         }
         node->ReadJobs();
         Round(*node);
-        EndSome(round);
-        if (round % 4 == 3 && !late_.empty()) {
-          WorkerOf(late_.front().machine).Take(late_.front());
-          late_.pop_front();
+        CompleteSomeTasks(round);
+        if (round % 4 == 3 && !delayed_commands_.empty()) {
+          WorkerOf(delayed_commands_.front().machine).Take(delayed_commands_.front());
+          delayed_commands_.pop_front();
           Check();
         }
         if (round % 4 == 1 && store.has_delayed_transactions()) store.DeliverDelayed();
-        if (over(node->State("j-1")) && over(node->State("j-2"))) break;
+        if (is_done(node->State("j-1")) && is_done(node->State("j-2"))) break;
       } catch (const FakeStore::Crashed&) {
-        node = nullptr;  // back at once
-        ++ended;
+        node = nullptr;  // restarts in the next round
+        ++crash_count;
         ++next;
-        arm();
+        set_next_crash();
       }
     }
-    store.commits_until_crash = pushes_until_end = -1;
+    store.commits_until_crash = commands_until_crash = -1;
     EXPECT_NE(node, nullptr);
-    if (node == nullptr) return ended;
+    if (node == nullptr) return crash_count;
     EXPECT_EQ(node->State("j-1"), "done");
     EXPECT_EQ(node->State("j-2"), "done");
-    return ended;
+    return crash_count;
   }
 
   std::map<std::string, std::uint32_t> jobs_;
-  std::deque<magpie::DirectCommand> late_;
+  std::deque<magpie::DirectCommand> delayed_commands_;
   Fault fault_ = Fault::kNone;
-  int pushes_until_end = -1;
+  int commands_until_crash = -1;
   int checks_ = 0;
 };
 
-// Every write and every command of an election, a takeover and what follows, in turn;
-// then every pair of them that lies close together.
+// The leader crashes at each write and each direct command of an election, a takeover and the work
+// after it, then at each pair of these that are close together.
 TEST_F(QuickRestartTest, LeaderRestartsAtEveryWriteAndCommand) {
   int points = 0;
   for (const bool at_commits : {true, false})
     for (const Fault fault : {Fault::kRefuse, Fault::kLoseResponse, Fault::kCommitLate})
       for (int at = 0;; ++at) {
-        const auto play = [&](const std::vector<int>& ends) {
+        const auto run = [&](const std::vector<int>& crashes) {
           SCOPED_TRACE(std::string(at_commits ? "commit " : "command ") + std::to_string(at) +
-                       (ends.size() > 1 ? ", then " + std::to_string(ends[1]) : "") + ", fault " +
-                       std::to_string(static_cast<int>(fault)));
+                       (crashes.size() > 1 ? ", then " + std::to_string(crashes[1]) : "") +
+                       ", fault " + std::to_string(static_cast<int>(fault)));
           fault_ = fault;
-          return Play(ends, at_commits);
+          return RunWithCrashes(crashes, at_commits);
         };
-        if (play({at}) == 0) break;  // there is no such point any more
+        if (run({at}) == 0) break;  // all jobs are done before this point
         ++points;
-        for (int then = 0; then < 4; ++then) points += play({at, then}) == 2 ? 1 : 0;
+        for (int then = 0; then < 4; ++then) points += run({at, then}) == 2 ? 1 : 0;
         ASSERT_LT(at, 200);
         if (HasFailure()) return;
       }
@@ -153,127 +155,131 @@
   RecordProperty("points", points);
 }
 
-// Its key and its hold still live. It leads by neither; the run before it, should it be
-// alive after all, can write and command nothing any more.
-TEST_F(QuickRestartTest, LeaderRestartsBeforeItsOldLeaseExpires) {
-  FakeWorker& w = AddWorker("m-1", "large");
-  TestController& before = AddController("n0");
+// The leader's key and lease of the previous process still exist. The new process must win a new
+// epoch. The previous process, if it still runs, can neither write nor command workers.
+TEST_F(QuickRestartTest, LeaderRestartsBeforeOldLeaseExpires) {
+  FakeWorker& worker = AddWorker("m-1", "large");
+  TestController& old_process = AddController("n0");
   TestController& other = AddController("n1");
-  ASSERT_TRUE(before.TakeOver(now));
+  ASSERT_TRUE(old_process.TakeOver(now));
   ASSERT_FALSE(other.TakeOver(now));
-  Settle(before);
-  Run(before, MakeJob("j-1", 2));
-  before.core.Tick(now, wall);
-  const WriteBatch plan = before.core.NextWriteBatch(now);  // sent, and nobody heard the answer
-  ASSERT_FALSE(plan.empty());
-  TestController& after = Again("n0");
-  ASSERT_TRUE(after.TakeOver(now)) << "it waits for no lease";
-  EXPECT_GT(after.leadership.epoch, before.leadership.epoch);
+  Settle(old_process);
+  Run(old_process, MakeJob("j-1", 2));
+  old_process.core.Tick(now, wall);
+  const WriteBatch batch = old_process.core.NextWriteBatch(now);  // sent later, by the old process
+  ASSERT_FALSE(batch.empty());
+  TestController& new_process = RestartController("n0");
+  ASSERT_TRUE(new_process.TakeOver(now))
+      << "the restarted leader does not wait for the old lease to expire";
+  EXPECT_GT(new_process.leadership.epoch, old_process.leadership.epoch);
   EXPECT_FALSE(other.TakeOver(now));
   EXPECT_EQ(other.election.view().leader, "n0");
-  EXPECT_EQ(store.Commit(records::ToTransaction(plan, before.leadership)).status,
+  EXPECT_EQ(store.Commit(records::ToTransaction(batch, old_process.leadership)).status,
             StoreStatus::kConflict);
-  Settle(after);
-  EXPECT_EQ(w.LiveTaskCount(), 2U);
-  EXPECT_FALSE(w.Deliver(before.core.OnHeartbeat(w.Snapshot(), now)));
+  Settle(new_process);
+  EXPECT_EQ(worker.LiveTaskCount(), 2U);
+  EXPECT_FALSE(worker.Deliver(old_process.core.OnHeartbeat(worker.Snapshot(), now)));
 }
 
-// All end at once and are back one after the other. While the old leader's key lives
-// nobody guesses; if it does not come, its lease ends and another leads.
+// All controllers fail at once and restart one after the other. While the old leader's key exists,
+// only that leader can be elected again; after its lease expires, another controller can.
 TEST_F(QuickRestartTest, AllControllersRestartAtDifferentTimes) {
-  TestController& before = AddController("n0");
-  ASSERT_TRUE(before.TakeOver(now));
-  EXPECT_FALSE(Again("n1").TakeOver(now));
-  TestController& third = Again("n2");
+  TestController& old_leader = AddController("n0");
+  ASSERT_TRUE(old_leader.TakeOver(now));
+  EXPECT_FALSE(RestartController("n1").TakeOver(now));
+  TestController& third = RestartController("n2");
   EXPECT_FALSE(third.TakeOver(now));
-  EXPECT_TRUE(Again("n0").TakeOver(now));
+  EXPECT_TRUE(RestartController("n0").TakeOver(now));
   EXPECT_FALSE(third.TakeOver(now));
   store.ExpireLeases();
   EXPECT_TRUE(third.TakeOver(now));
 }
 
-// A copy of an earlier run's write of its member key, or of the leader's key, arrives
-// when the next run has written its own: it must not bring back what goes with a lease
-// that is about to end.
-TEST_F(QuickRestartTest, LateElectionWritesChangeNothing) {
+// A delayed write of an earlier process to its member key or to the leader's key arrives after the
+// next process has written its own. It must not restore a key attached to the old lease, which is
+// about to expire.
+TEST_F(QuickRestartTest, DelayedElectionWritesChangeNothing) {
   store.crash_fault = Fault::kCommitLate;
   for (int at = 0; at < 3; ++at) {
     store.commits_until_crash = at;
-    EXPECT_THROW(Again("n0").TakeOver(now), FakeStore::Crashed);
+    EXPECT_THROW(RestartController("n0").TakeOver(now), FakeStore::Crashed);
   }
-  TestController& last = Again("n0");
+  TestController& last = RestartController("n0");
   ASSERT_TRUE(last.TakeOver(now));
-  const auto before = store.Range(records::kControlPrefix, "", 10).entries;
+  const auto entries_before = store.Range(records::kControlPrefix, "", 10).entries;
   while (store.has_delayed_transactions()) EXPECT_FALSE(store.DeliverDelayed());
-  const auto after = store.Range(records::kControlPrefix, "", 10).entries;
-  ASSERT_EQ(before.size(), after.size());
-  for (std::size_t i = 0; i < after.size(); ++i) EXPECT_EQ(before[i].revision, after[i].revision);
+  const auto entries_after = store.Range(records::kControlPrefix, "", 10).entries;
+  ASSERT_EQ(entries_before.size(), entries_after.size());
+  for (std::size_t i = 0; i < entries_after.size(); ++i)
+    EXPECT_EQ(entries_before[i].revision, entries_after[i].revision);
 }
 
-TEST_F(QuickRestartTest, RepeatedRestartsLeaveNothingBehind) {
+TEST_F(QuickRestartTest, RepeatedRestartsLeaveNoStaleKeys) {
   std::size_t keys = 0;
   for (int i = 0; i < 50; ++i) {
-    const int before = store.commits;
-    TestController& node = Again("n0");
+    const int commits_before = store.commits;
+    TestController& node = RestartController("n0");
     ASSERT_TRUE(node.TakeOver(now));
-    EXPECT_LE(store.commits - before, 3);
-    const std::size_t now_there = store.Range("", "", 1000).entries.size();
+    EXPECT_LE(store.commits - commits_before, 3);
+    const std::size_t key_count = store.Range("", "", 1000).entries.size();
     if (i > 0) {
-      EXPECT_EQ(now_there, keys);
+      EXPECT_EQ(key_count, keys);
     }
-    keys = now_there;
+    keys = key_count;
     controllers_.clear();
   }
 }
 
-// What users repeat at the next run of the process, after an answer that nobody heard.
-TEST_F(QuickRestartTest, RepeatedRequestsFindWhatIsDurable) {
+// Users repeat requests at a restarted process because the answers of the old one were lost.
+TEST_F(QuickRestartTest, RepeatedRequestsReturnDurableState) {
   store.crash_fault = Fault::kLoseResponse;
   store.commits_until_crash = 0;
   EXPECT_THROW(Submit(AddController("n0"), MakeJob("j-1")), FakeStore::Crashed);
-  TestController& next = Again("n0");
-  EXPECT_EQ(Submit(next, MakeJob("j-1")), 200) << "it was accepted";
+  TestController& next = RestartController("n0");
+  EXPECT_EQ(Submit(next, MakeJob("j-1")), 200) << "the job was accepted before";
   store.commits_until_crash = 0;
   EXPECT_THROW(next.api.Cancel("j-1"), FakeStore::Crashed);
-  TestController& third = Again("n0");
-  EXPECT_EQ(third.State("j-1"), "queued") << "its tasks are stopped; nobody has been told";
+  TestController& third = RestartController("n0");
+  EXPECT_EQ(third.State("j-1"), "queued")
+      << "tasks are being stopped; the cancellation is not acknowledged";
   store.commits_until_crash = 0;
   EXPECT_THROW(third.api.Cancel("j-1"), FakeStore::Crashed);
-  TestController& last = Again("n0");
+  TestController& last = RestartController("n0");
   EXPECT_EQ(last.State("j-1"), "withdrawn");
   EXPECT_EQ(last.api.Cancel("j-1").status, 200);
   EXPECT_EQ(Submit(last, MakeJob("j-1")), 200);
   EXPECT_EQ(last.State("j-1"), "withdrawn");
 }
 
-// A worker's machine is back under its name and knows nothing. Its small numbers were
-// taken for late copies, and its tasks for running, until its lease would have ended,
-// which it never did: its reports were answered.
-TEST_F(QuickRestartTest, MachineThatLostItsStateIsDetected) {
-  FakeWorker& w = AddWorker("m-1");
+// A machine restarts under its name and its worker has lost its state. Its low sequence numbers
+// were taken for delayed copies, and its tasks for running, until its lease would have expired. It
+// never expired, since its heartbeats were answered.
+TEST_F(QuickRestartTest, MachineWithLostStateIsDetected) {
+  FakeWorker& worker = AddWorker("m-1");
   FakeWorker& other = AddWorker("m-2");
   TestController& node = AddController("n0");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
   Run(node, MakeJob("j-1", 2));
   for (int i = 0; i < 3; ++i) Round(node);
-  FakeWorker& gone = w.LiveTaskCount() > 0 ? w : other;
-  magpie::Heartbeat of_before = gone.Snapshot();
-  of_before.sequence += 5;  // its last report is still on its way
-  gone.Restart(true);
+  FakeWorker& restarted = worker.LiveTaskCount() > 0 ? worker : other;
+  magpie::Heartbeat delayed_heartbeat = restarted.Snapshot();
+  delayed_heartbeat.sequence += 5;  // the last one before the restart is still in flight
+  restarted.Restart(true);
   jobs_ = {{"j-1", 2}};
   for (int i = 0; i < 12; ++i) {
-    if (i == 6) gone.Deliver(node.core.OnHeartbeat(of_before, now));
+    if (i == 6) restarted.Deliver(node.core.OnHeartbeat(delayed_heartbeat, now));
     Round(node);
   }
   EXPECT_EQ(CountLiveTasks(), 2U);
   EXPECT_EQ(node.core.GetJobProgress({"j-1"})->running, 2U);
 }
 
-// A copy of a `run` from before arrives at the machine that forgot all, which nothing
-// shuts out there. The task stays bound to it until a higher token was seen.
-TEST_F(QuickRestartTest, DelayedRunAtAMachineThatLostItsStateStartsNothingTwice) {
-  FakeWorker& w = AddWorker("m-1");
+// A copy of a `run` command from before the restart arrives at a worker that has lost its state and
+// so does not reject it. The task stays bound to the machine until the worker has seen a higher
+// token.
+TEST_F(QuickRestartTest, DelayedRunAtMachineWithLostStateStartsNothingTwice) {
+  FakeWorker& worker = AddWorker("m-1");
   AddWorker("m-2");
   AddWorker("m-3");
   TestController& node = AddController("n0");
@@ -291,8 +297,8 @@
   }
   ASSERT_EQ(CountLiveTasks(), 6U);
   jobs_ = {{"j-1", 6}};
-  for (FakeWorker& per_task : workers_) Heartbeat(node, per_task);
-  w.Restart(true);
+  for (FakeWorker& worker : workers_) Heartbeat(node, worker);
+  worker.Restart(true);
   for (int i = 0; i < 16; ++i) {
     if (i == 2)
       for (const magpie::DirectCommand& direct_command : sent)
@@ -302,20 +308,22 @@
   EXPECT_EQ(CountLiveTasks(), 6U);
 }
 
-// The other way that the protocol leaves open: numbers and token kept, tasks lost.
-TEST_F(QuickRestartTest, MachineThatKeptItsSequenceNumbersRunsItsTasksAgain) {
-  FakeWorker& w = AddWorker("m-1");
+// The other kind of restart that the protocol allows: the worker keeps its sequence numbers and its
+// token but loses its tasks.
+TEST_F(QuickRestartTest, MachineWithKeptSequenceNumbersRunsTasksAgain) {
+  FakeWorker& worker = AddWorker("m-1");
   TestController& node = AddController("n0");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
   Run(node, MakeJob("j-1", 2));
   Settle(node);
-  ASSERT_EQ(w.LiveTaskCount(), 2U);
-  w.Restart(false);
-  Heartbeat(node, w);
-  EXPECT_EQ(node.core.GetJobProgress({"j-1"})->running, 0U) << "counts tell the truth meanwhile";
+  ASSERT_EQ(worker.LiveTaskCount(), 2U);
+  worker.Restart(false);
+  Heartbeat(node, worker);
+  EXPECT_EQ(node.core.GetJobProgress({"j-1"})->running, 0U)
+      << "the lost tasks are not counted as running";
   Settle(node);
-  EXPECT_EQ(w.LiveTaskCount(), 2U);
+  EXPECT_EQ(worker.LiveTaskCount(), 2U);
 }
 
 }  // namespace
--- a/tests/quota_test.cc
+++ b/tests/quota_test.cc
@@ -1,6 +1,6 @@
-// A team's limit and a job's zone rules over a change of leader. What a leader has unbound
-// stands in the records as bound until its page is written again, while another task may have
-// taken its quota or its zone's share and be durable. Whoever leads next reads both as bound.
+// Quotas of teams and zone rules of jobs across a change of leader. A task that the old leader
+// unbound stays bound in the records until its page is rewritten, while another task with a durable
+// binding may have got its quota or its zone's share. The new leader reads both as bound.
 #include "test_cluster.h"
 
 namespace magpie::testing {
@@ -8,131 +8,132 @@
 
 class QuotaTest : public ClusterTest {
  protected:
-  static constexpr double kLimit = 6;  // CPUs of the team "blue"
+  static constexpr double kQuotaCpus = 6;  // of the team "blue"
 
-  JobSpec Blue(const std::string& id, std::uint32_t tasks, Priority priority) const {
+  JobSpec MakeBlueJob(const std::string& id, std::uint32_t tasks, Priority priority) const {
     JobSpec spec = MakeJob(id, tasks);
     spec.team = "blue";
     spec.priority = priority;
     return spec;
   }
 
-  // n0 leads, and m-1 runs a task of j-1 beside so many records of others that its page is not
-  // soon written again.
+  // n0 becomes the leader, and m-1 runs `tasks` tasks of j-1. The page with their records has so
+  // many others that it is not rewritten soon.
   void Begin(std::uint32_t tasks, bool single_zone = false, bool spread = false) {
     m1 = &AddWorker("m-1", "large", "a");
-    before = &AddController("n0");
-    ASSERT_TRUE(before->TakeOver(now));
-    Heartbeat(*before, *m1);
-    JobSpec many = MakeJob("j-9", 60);
-    many.per_task = {0.01, 0, 0.01};
-    Run(*before, many);
-    JobSpec first = Blue("j-1", tasks, Priority::kNormal);
+    old_leader = &AddController("n0");
+    ASSERT_TRUE(old_leader->TakeOver(now));
+    Heartbeat(*old_leader, *m1);
+    JobSpec filler = MakeJob("j-9", 60);
+    filler.per_task = {0.01, 0, 0.01};
+    Run(*old_leader, filler);
+    JobSpec first = MakeBlueJob("j-1", tasks, Priority::kNormal);
     first.single_zone = single_zone;
     first.spread = spread;
-    Run(*before, first);
-    Settle(*before);
-    ASSERT_EQ(BlueUse(), 2.0 * tasks);
+    Run(*old_leader, first);
+    Settle(*old_leader);
+    ASSERT_EQ(BlueCpus(), 2.0 * tasks);
   }
 
-  double BlueUse() const {
-    double use = 0;
-    for (const FakeWorker& w : workers_)
+  double BlueCpus() const {
+    double cpus = 0;
+    for (const FakeWorker& worker : workers_)
       for (const char* job : {"j-1", "j-2"})
-        for (std::uint32_t i = 0; i < 3; ++i) use += w.HasLiveTask({{job}, i}) ? 2 : 0;
-    return use;
+        for (std::uint32_t i = 0; i < 3; ++i) cpus += worker.HasLiveTask({{job}, i}) ? 2 : 0;
+    return cpus;
   }
 
-  // n0 takes in what m-1 says, and gives the room that it sees to j-2 on m-2.
-  void AnotherTakesItsPlace() {
-    before->core.OnHeartbeat(m1->Snapshot(), now);  // the answer is lost
+  // n0 applies m-1's heartbeat and binds tasks of j-2 on m-2 with the quota that it freed.
+  void ReuseFreedQuota() {
+    old_leader->core.OnHeartbeat(m1->Snapshot(), now);  // the response is lost
     m2 = &AddWorker("m-2", "large", "b");
-    Run(*before, Blue("j-2", 3, Priority::kProduction));
+    Run(*old_leader, MakeBlueJob("j-2", 3, Priority::kProduction));
     for (int i = 0; i < 3; ++i) {
-      Heartbeat(*before, *m2);
-      before->core.Tick(now, wall);
-      while (before->WriteOnce(now)) {
+      Heartbeat(*old_leader, *m2);
+      old_leader->core.Tick(now, wall);
+      while (old_leader->WriteOnce(now)) {
       }
-      EXPECT_LE(BlueUse(), kLimit);
+      EXPECT_LE(BlueCpus(), kQuotaCpus);
     }
   }
 
-  void NextLeads() {
+  void ElectNextLeader() {
     store.ExpireLeases();
-    after = &AddController("n1");
-    ASSERT_TRUE(after->TakeOver(now));
+    new_leader = &AddController("n1");
+    ASSERT_TRUE(new_leader->TakeOver(now));
   }
 
-  // Both machines report to the next leader, in either order, for a while.
-  void BothReport(bool m1_first) {
+  // Both workers send heartbeats to the next leader for 6 s, in the given order.
+  void SendHeartbeats(bool m1_first) {
     for (int i = 0; i < 6; ++i) {
-      for (FakeWorker* w : {m1_first ? m1 : m2, m1_first ? m2 : m1}) {
-        Heartbeat(*after, *w);
-        EXPECT_LE(BlueUse(), kLimit);
-        after->core.Tick(now, wall);
-        while (after->WriteOnce(now)) {
+      for (FakeWorker* worker : {m1_first ? m1 : m2, m1_first ? m2 : m1}) {
+        Heartbeat(*new_leader, *worker);
+        EXPECT_LE(BlueCpus(), kQuotaCpus);
+        new_leader->core.Tick(now, wall);
+        while (new_leader->WriteOnce(now)) {
         }
-        while (auto direct_command = after->core.NextDirectCommand(now)) {
-          FakeWorker& to = direct_command->machine == m1->id() ? *m1 : *m2;
-          to.Take(*direct_command);
-          after->core.OnDirectCommandResult(*direct_command, DeliveryStatus::kAnswered,
-                                            to.Snapshot(), now);
-          EXPECT_LE(BlueUse(), kLimit);
+        while (auto direct_command = new_leader->core.NextDirectCommand(now)) {
+          FakeWorker& target = direct_command->machine == m1->id() ? *m1 : *m2;
+          target.Take(*direct_command);
+          new_leader->core.OnDirectCommandResult(*direct_command, DeliveryStatus::kAnswered,
+                                                 target.Snapshot(), now);
+          EXPECT_LE(BlueCpus(), kQuotaCpus);
         }
       }
       AdvanceTime(1);
     }
   }
 
-  // Asks the machine, if the leader wants to.
+  // Delivers the leader's probes, which must all be to the worker.
   void Probe(TestController& node, FakeWorker& worker) {
     while (const auto probe = node.core.NextProbe(now)) {
-      ASSERT_EQ(probe->machine, worker.id()) << "the others are heard";
+      ASSERT_EQ(probe->machine, worker.id()) << "the other workers send heartbeats";
       worker.Take(*probe);
       node.core.OnDirectCommandResult(*probe, DeliveryStatus::kAnswered, worker.Snapshot(), now);
     }
   }
 
-  TestController* before = nullptr;
-  TestController* after = nullptr;
+  TestController* old_leader = nullptr;
+  TestController* new_leader = nullptr;
   FakeWorker* m1 = nullptr;
   FakeWorker* m2 = nullptr;
 };
 
-// Every way in which a machine that lives gives up a task.
-TEST_F(QuotaTest, UnpersistedUnbindingAllowsNoStartOverTheLimit) {
-  const std::map<std::string, std::function<void(FakeWorker&)>> ways{
-      {"a new session", [](FakeWorker& w) { w.ExpireLease(); }},
-      {"an error", [](FakeWorker& w) { w.EndAll(ExitReason::kError); }},
-      {"stopped", [](FakeWorker& w) { w.EndAll(ExitReason::kStopped); }},
-      {"no room", [](FakeWorker& w) { w.EndAll(ExitReason::kInsufficientCapacity); }},
-      {"busy", [](FakeWorker& w) { w.EndAll(ExitReason::kBusy); }},
-      {"unknown", [](FakeWorker& w) { w.EndAll(ExitReason::kUnknown); }},
-      {"a notice",
-       [](FakeWorker& w) {
-         w.Restart(false);
-         w.SetPreemptionNotice({300});
+// Covers every way in which a task is unbound from a live machine.
+TEST_F(QuotaTest, UnpersistedUnbindingAllowsNoStartAboveQuota) {
+  const std::map<std::string, std::function<void(FakeWorker&)>> causes{
+      {"a new agent epoch", [](FakeWorker& worker) { worker.ExpireLease(); }},
+      {"an error", [](FakeWorker& worker) { worker.EndAll(ExitReason::kError); }},
+      {"stopped", [](FakeWorker& worker) { worker.EndAll(ExitReason::kStopped); }},
+      {"insufficient capacity",
+       [](FakeWorker& worker) { worker.EndAll(ExitReason::kInsufficientCapacity); }},
+      {"busy", [](FakeWorker& worker) { worker.EndAll(ExitReason::kBusy); }},
+      {"unknown", [](FakeWorker& worker) { worker.EndAll(ExitReason::kUnknown); }},
+      {"a preemption notice",
+       [](FakeWorker& worker) {
+         worker.Restart(false);
+         worker.SetPreemptionNotice({300});
        }},
   };
-  for (const auto& [name, way] : ways)
+  for (const auto& [name, cause] : causes)
     for (const bool m1_first : {true, false}) {
-      SCOPED_TRACE(name + (m1_first ? ", m-1 reports first" : ", m-2 reports first"));
+      SCOPED_TRACE(name + (m1_first ? ", m-1 sends first" : ", m-2 sends first"));
       store = FakeStore{};
       controllers_.clear();
       workers_.clear();
       Begin(3);
-      way(*m1);
-      AnotherTakesItsPlace();
-      // It has forgotten what ended, at n0's word.
-      m1->Deliver(before->core.OnHeartbeat(m1->Snapshot(), now));
-      NextLeads();
-      BothReport(m1_first);
-      EXPECT_EQ(BlueUse(), kLimit) << "all that the limit allows runs";
+      cause(*m1);
+      ReuseFreedQuota();
+      // n0 tells m-1 to forget the ended attempts.
+      m1->Deliver(old_leader->core.OnHeartbeat(m1->Snapshot(), now));
+      ElectNextLeader();
+      SendHeartbeats(m1_first);
+      EXPECT_EQ(BlueCpus(), kQuotaCpus) << "the quota is fully used";
     }
 }
 
-// Nor in a zone that the job's other tasks do not allow.
-TEST_F(QuotaTest, UnpersistedUnbindingAllowsNoStartInAnotherZone) {
+// The same for the rule that all tasks of a job run in a single zone.
+TEST_F(QuotaTest, UnpersistedUnbindingAllowsNoStartInSecondZone) {
   for (const bool m1_first : {true, false}) {
     SCOPED_TRACE(m1_first);
     store = FakeStore{};
@@ -140,68 +141,69 @@
     workers_.clear();
     Begin(3, true);
     m1->EndAll(ExitReason::kStopped);
-    before->core.OnHeartbeat(m1->Snapshot(), now);
-    // Other work takes all of m-1; in the other zone there is room for two of the three.
-    JobSpec red = MakeJob("j-4");
-    red.per_task = {15, 0, 4};
-    red.priority = Priority::kProduction;
-    Run(*before, red);
-    before->core.Tick(now, wall);
+    old_leader->core.OnHeartbeat(m1->Snapshot(), now);
+    // j-4 takes all of m-1; the other zone has free capacity for two of the three tasks.
+    JobSpec large = MakeJob("j-4");
+    large.per_task = {15, 0, 4};
+    large.priority = Priority::kProduction;
+    Run(*old_leader, large);
+    old_leader->core.Tick(now, wall);
     m2 = &AddWorker("m-2", "small", "b");
     for (int i = 0; i < 3; ++i) {
       AdvanceTime(1);
-      Heartbeat(*before, *m2);
-      before->core.Tick(now, wall);
-      while (before->WriteOnce(now)) {
+      Heartbeat(*old_leader, *m2);
+      old_leader->core.Tick(now, wall);
+      while (old_leader->WriteOnce(now)) {
       }
     }
-    Heartbeat(*before, *m2);
-    ASSERT_EQ(BlueUse(), 4) << "two of them run in zone b";
-    m1->Deliver(before->core.OnHeartbeat(m1->Snapshot(), now));  // it forgets what ended
-    NextLeads();
+    Heartbeat(*old_leader, *m2);
+    ASSERT_EQ(BlueCpus(), 4) << "two tasks run in zone b";
+    m1->Deliver(
+        old_leader->core.OnHeartbeat(m1->Snapshot(), now));  // it forgets the ended attempts
+    ElectNextLeader();
     for (int i = 0; i < 8; ++i) {
-      for (FakeWorker* w : {m1_first ? m1 : m2, m1_first ? m2 : m1}) {
-        Heartbeat(*after, *w);
+      for (FakeWorker* worker : {m1_first ? m1 : m2, m1_first ? m2 : m1}) {
+        Heartbeat(*new_leader, *worker);
         EXPECT_EQ(m1->HasLiveTask({{"j-1"}, 0}) + m1->HasLiveTask({{"j-1"}, 1}) +
                       m1->HasLiveTask({{"j-1"}, 2}),
                   0);
       }
-      after->core.Tick(now, wall);
-      while (after->WriteOnce(now)) {
+      new_leader->core.Tick(now, wall);
+      while (new_leader->WriteOnce(now)) {
       }
       AdvanceTime(1);
     }
-    EXPECT_EQ(BlueUse(), 4);
+    EXPECT_EQ(BlueCpus(), 4);
   }
 }
 
-// A result that an earlier session told is a fact, but the same attempt may have been begun
-// once more since, and a copy of the old report be the next leader's first word. Its quota is
-// not given away while it runs.
-TEST_F(QuotaTest, ResultReportedBeforeOurTermFreesNoQuota) {
+// The results of an earlier agent epoch are valid, but the same attempts may have been started
+// again since, and a delayed copy of the old heartbeat may be the first that a new leader receives.
+// The quota of the attempts must not be reused while they run.
+TEST_F(QuotaTest, ResultFromEarlierTermFreesNoQuota) {
   Begin(3);
   for (std::uint32_t i = 0; i < 3; ++i) m1->End({{"j-1"}, i}, ExitReason::kDone);
-  const magpie::Heartbeat of_the_results = m1->Snapshot();
-  m1->ExpireLease();  // n0 never heard of them, and ends
-  NextLeads();
-  Heartbeat(*after, *m1);
-  Heartbeat(*after, *m1);
-  Heartbeat(*after, *m1);
-  ASSERT_EQ(BlueUse(), kLimit) << "the same attempts once more";
+  const magpie::Heartbeat heartbeat_with_results = m1->Snapshot();
+  m1->ExpireLease();  // n0 fails before it receives the results
+  ElectNextLeader();
+  Heartbeat(*new_leader, *m1);
+  Heartbeat(*new_leader, *m1);
+  Heartbeat(*new_leader, *m1);
+  ASSERT_EQ(BlueCpus(), kQuotaCpus) << "the same attempts are started again";
   store.ExpireLeases();
   TestController& third = AddController("n2");
   ASSERT_TRUE(third.TakeOver(now));
-  third.core.OnHeartbeat(of_the_results, now);
-  Run(third, Blue("j-2", 3, Priority::kProduction));
+  third.core.OnHeartbeat(heartbeat_with_results, now);
+  Run(third, MakeBlueJob("j-2", 3, Priority::kProduction));
   m2 = &AddWorker("m-2", "large", "b");
   for (int i = 0; i < 4; ++i) {
     third.core.Tick(now, wall);
     while (third.WriteOnce(now)) {
     }
     Heartbeat(third, *m2);
-    EXPECT_LE(BlueUse(), kLimit);
+    EXPECT_LE(BlueCpus(), kQuotaCpus);
   }
-  // The worker itself says later what it runs, and what it ends counts at once.
+  // The worker's own heartbeat then lists the attempts as running. Their ends are applied at once.
   Heartbeat(third, *m1);
   m1->EndAll(ExitReason::kDone);
   for (int i = 0; i < 4; ++i) {
@@ -210,87 +212,87 @@
     while (third.WriteOnce(now)) {
     }
     Heartbeat(third, *m2);
-    EXPECT_LE(BlueUse(), kLimit);
+    EXPECT_LE(BlueCpus(), kQuotaCpus);
   }
   EXPECT_EQ(third.State("j-1"), "done");
-  EXPECT_EQ(BlueUse(), kLimit);
+  EXPECT_EQ(BlueCpus(), kQuotaCpus);
 }
 
-// A result told before our term is kept all the same: the task takes no room and is not begun
-// again, whatever happens to its machine. What it holds of the limit is given away only once the
-// attempt is over for certain.
-TEST_F(QuotaTest, ResultReportedBeforeOurTermIsAppliedAtOnce) {
-  const auto said = [this] { Heartbeat(*after, *m1); };
-  const std::map<std::string, std::function<void()>> ways{
-      {"it is said anew", said},
-      {"a new session", [&] { m1->ExpireLease(), said(); }},
-      {"its tasks are lost", [&] { m1->Restart(false), said(); }},
-      {"all is lost", [&] { m1->Restart(true), said(); }},
-      {"its machine is returned",
-       [this] { after->core.OnReleased({CloudCall::Kind::kRelease, {}, {m1->id()}}, now); }},
+// A result from before the leader's term is kept, whatever happens to the machine: the task uses no
+// capacity and is not started again. Its quota is reused only once the attempt is proved to have
+// ended.
+TEST_F(QuotaTest, ResultFromEarlierTermIsAppliedAtOnce) {
+  const auto send_heartbeat = [this] { Heartbeat(*new_leader, *m1); };
+  const std::map<std::string, std::function<void()>> causes{
+      {"heartbeat repeats the result", send_heartbeat},
+      {"a new agent epoch", [&] { m1->ExpireLease(), send_heartbeat(); }},
+      {"tasks are lost", [&] { m1->Restart(false), send_heartbeat(); }},
+      {"all state is lost", [&] { m1->Restart(true), send_heartbeat(); }},
+      {"machine is released",
+       [this] { new_leader->core.OnReleased({CloudCall::Kind::kRelease, {}, {m1->id()}}, now); }},
   };
-  for (const auto& [name, way] : ways) {
+  for (const auto& [name, cause] : causes) {
     SCOPED_TRACE(name);
     store = FakeStore{};
     controllers_.clear();
     workers_.clear();
     Begin(3);
     for (std::uint32_t i = 0; i < 3; ++i) m1->End({{"j-1"}, i}, ExitReason::kDone);
-    NextLeads();
-    after->core.OnHeartbeat(m1->Snapshot(), now);  // the answer is lost
-    JobSpec red = MakeJob("j-4");
-    red.per_task = {15, 0, 4};  // fits on m-1 alone, once the three take no room there
-    Run(*after, red);
-    Run(*after, Blue("j-2", 3, Priority::kProduction));
-    const std::vector<FakeWorker*> free{&AddWorker("m-2", "small", "b"),
-                                        &AddWorker("m-3", "small", "b")};
+    ElectNextLeader();
+    new_leader->core.OnHeartbeat(m1->Snapshot(), now);  // the response is lost
+    JobSpec large = MakeJob("j-4");
+    large.per_task = {15, 0, 4};  // fits only on m-1, if the three ended tasks use no capacity
+    Run(*new_leader, large);
+    Run(*new_leader, MakeBlueJob("j-2", 3, Priority::kProduction));
+    const std::vector<FakeWorker*> others{&AddWorker("m-2", "small", "b"),
+                                          &AddWorker("m-3", "small", "b")};
     const auto round = [&] {
-      after->core.Tick(now, wall);
-      while (after->WriteOnce(now)) {
+      new_leader->core.Tick(now, wall);
+      while (new_leader->WriteOnce(now)) {
       }
-      for (FakeWorker* w : free) Heartbeat(*after, *w);
-      EXPECT_LE(BlueUse(), kLimit);
+      for (FakeWorker* worker : others) Heartbeat(*new_leader, *worker);
+      EXPECT_LE(BlueCpus(), kQuotaCpus);
       AdvanceTime(1);
     };
     for (int i = 0; i < 3; ++i) round();
-    EXPECT_EQ(after->core.GetStatus().pending, 3U) << "j-4 has its place, j-2 waits";
-    EXPECT_EQ(BlueUse(), 0) << "it might have been begun once more";
-    way();
+    EXPECT_EQ(new_leader->core.GetStatus().pending, 3U) << "j-4 is placed, j-2 is pending";
+    EXPECT_EQ(BlueCpus(), 0) << "attempts of j-1 may have been started again";
+    cause();
     for (int i = 0; i < 6; ++i) {
-      if (name != "its machine is returned") {
-        Heartbeat(*after, *m1);
-        Probe(*after, *m1);
+      if (name != "machine is released") {
+        Heartbeat(*new_leader, *m1);
+        Probe(*new_leader, *m1);
       }
       round();
     }
-    EXPECT_EQ(after->State("j-1"), "done");
-    EXPECT_EQ(BlueUse(), kLimit) << "all of j-2";
-    for (const FakeWorker& w : workers_)
+    EXPECT_EQ(new_leader->State("j-1"), "done");
+    EXPECT_EQ(BlueCpus(), kQuotaCpus) << "all tasks of j-2 run";
+    for (const FakeWorker& worker : workers_)
       for (std::uint32_t i = 0; i < 3; ++i) {
-        const auto began = w.starts.find({{"j-1"}, i});
-        EXPECT_EQ(began == w.starts.end() ? 0 : began->second, &w == m1 ? 1 : 0);
+        const auto starts = worker.starts.find({{"j-1"}, i});
+        EXPECT_EQ(starts == worker.starts.end() ? 0 : starts->second, &worker == m1 ? 1 : 0);
       }
   }
 }
 
-// A limit that was lowered while nobody led starts nothing above it either.
-TEST_F(QuotaTest, LoweredLimitStartsNothingAboveIt) {
+// The quota is lowered while there is no leader.
+TEST_F(QuotaTest, LoweredQuotaAllowsNoStartAboveIt) {
   Begin(3);
   m1->ExpireLease();
   store.ExpireLeases();
   Scheduler::Options options = DefaultOptions();
   options.teams[1].cpus_max = 2;
-  after = &controllers_.emplace_back(store, "n1", options);
-  ASSERT_TRUE(after->TakeOver(now));
+  new_leader = &controllers_.emplace_back(store, "n1", options);
+  ASSERT_TRUE(new_leader->TakeOver(now));
   for (int i = 0; i < 5; ++i) {
-    Heartbeat(*after, *m1);
-    EXPECT_LE(BlueUse(), 2);
-    after->core.Tick(now, wall);
-    while (after->WriteOnce(now)) {
+    Heartbeat(*new_leader, *m1);
+    EXPECT_LE(BlueCpus(), 2);
+    new_leader->core.Tick(now, wall);
+    while (new_leader->WriteOnce(now)) {
     }
     AdvanceTime(1);
   }
-  EXPECT_EQ(BlueUse(), 2);
+  EXPECT_EQ(BlueCpus(), 2);
 }
 
 }  // namespace
--- a/tests/record_page_test.cc
+++ b/tests/record_page_test.cc
@@ -8,9 +8,8 @@
 
 class RecordPageTest : public ClusterTest {};
 
-// Bindings once took a change of the state service for each job: after the death
-// of many machines the replicas of 400 services waited over 20 s for 19 changes a
-// second.
+// Bindings took one write of the key-value store for each job: after the failure of many machines,
+// replicas of 400 services waited over 20 s at 19 writes per second.
 TEST_F(RecordPageTest, BindingsOfManyJobsTakeOneWrite) {
   constexpr int kJobs = 40;
   TestController& node = AddController("n0");
@@ -20,14 +19,14 @@
   for (int j = 1; j <= kJobs; ++j) Run(node, MakeJob("j-" + std::to_string(j)));
   AdvanceTime(2);
   node.core.Tick(now, wall);
-  const WriteBatch plan = node.core.NextWriteBatch(now);
-  ASSERT_EQ(plan.puts.size(), 1U);
-  EXPECT_EQ(plan.puts.front().records.size(), static_cast<std::size_t>(kJobs));
-  EXPECT_EQ(node.Finish(plan, now).status, WriteOutcome::Status::kWritten);
+  const WriteBatch batch = node.core.NextWriteBatch(now);
+  ASSERT_EQ(batch.puts.size(), 1U);
+  EXPECT_EQ(batch.puts.front().records.size(), static_cast<std::size_t>(kJobs));
+  EXPECT_EQ(node.Finish(batch, now).status, WriteOutcome::Status::kWritten);
   Settle(node);
   EXPECT_EQ(CountLiveTasks(), static_cast<std::size_t>(kJobs));
 
-  // What is written later shares the page and keeps what is in it.
+  // A later write adds to the page and keeps its records.
   Run(node, MakeJob("j-99"));
   Settle(node);
   EXPECT_LE(store.Range(records::kPagePrefix, "", 100).entries.size(), 2U);
@@ -36,13 +35,13 @@
   ASSERT_TRUE(next.TakeOver(now));
   EXPECT_EQ(next.core.GetStatus().bound, static_cast<std::size_t>(kJobs + 1));
   Settle(next);
-  for (FakeWorker& w : workers_)
-    for (const auto& [task, times] : w.starts) EXPECT_EQ(times, 1) << task.job.value;
+  for (FakeWorker& worker : workers_)
+    for (const auto& [task, times] : worker.starts) EXPECT_EQ(times, 1) << task.job.value;
 }
 
-// One cancellation on its way must not bind anything of its job, and must not
-// cost the others their attempts.
-TEST_F(RecordPageTest, CancelledJobAmongOthersIsNotBoundWithThem) {
+// A batch has bindings of several jobs, and one job is cancelled before the write. That job must
+// not be bound, and the others must keep their attempts.
+TEST_F(RecordPageTest, CancelledJobInSharedBatchIsNotBound) {
   TestController& node = AddController("n0");
   AddWorker("m-1", "large");
   ASSERT_TRUE(node.TakeOver(now));
@@ -50,44 +49,44 @@
   for (const char* id : {"j-1", "j-2", "j-3"}) Run(node, MakeJob(id));
   AdvanceTime(2);
   node.core.Tick(now, wall);
-  const WriteBatch plan = node.core.NextWriteBatch(now);
-  ASSERT_EQ(plan.puts.front().records.size(), 3U);
+  const WriteBatch batch = node.core.NextWriteBatch(now);
+  ASSERT_EQ(batch.puts.front().records.size(), 3U);
   ASSERT_EQ(node.api.Cancel("j-2").status, 200);
-  EXPECT_EQ(node.Finish(plan, now).status, WriteOutcome::Status::kRejected);
+  EXPECT_EQ(node.Finish(batch, now).status, WriteOutcome::Status::kRejected);
   Settle(node);
   EXPECT_EQ(workers_.front().starts.size(), 2U);
   EXPECT_FALSE(workers_.front().starts.contains(TaskOf("j-2")));
   EXPECT_EQ(node.State("j-2"), "withdrawn");
 }
 
-// A binding that waits for its write must not become durable because its task's
-// page is written for others: its job may have been cancelled meanwhile.
-TEST_F(RecordPageTest, PageWrittenForOthersBindsNothing) {
+// An unwritten binding must not become durable when its task's page is rewritten for other jobs:
+// its job may have been cancelled, and the write does not check that.
+TEST_F(RecordPageTest, PageRewrittenForOtherJobsAddsNoBinding) {
   Scheduler::Options options = DefaultOptions();
   options.max_operations = 4;
   TestController& node = controllers_.emplace_back(store, "n0", options);
-  FakeWorker& w = AddWorker("m-1", "large");
+  FakeWorker& worker = AddWorker("m-1", "large");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
   Run(node, MakeJob("j-1"));
   Settle(node);
-  w.EndAll(ExitReason::kError);  // its first attempt is over, and durable as bound
-  Heartbeat(node, w);
-  AdvanceTime(3);  // until then the machine is in doubt
+  worker.EndAll(ExitReason::kError);  // the first attempt ends; its record still says bound
+  Heartbeat(node, worker);
+  AdvanceTime(3);  // the machine is suspected for a moment after the failure
   Settle(node);
-  ASSERT_TRUE(w.HasLiveTask(TaskOf("j-1"))) << "bound again";
-  w.End(TaskOf("j-1"), ExitReason::kStopped);
-  Heartbeat(node, w);
-  node.core.Tick(now, wall);  // its third attempt is to be written
-  JobSpec bindings_unpersisted = MakeJob("j-2");
-  bindings_unpersisted.priority = Priority::kProduction;
-  Run(node, bindings_unpersisted);
+  ASSERT_TRUE(worker.HasLiveTask(TaskOf("j-1"))) << "the second attempt is bound";
+  worker.End(TaskOf("j-1"), ExitReason::kStopped);
+  Heartbeat(node, worker);
+  node.core.Tick(now, wall);  // binds the third attempt, which is not written yet
+  JobSpec urgent = MakeJob("j-2");
+  urgent.priority = Priority::kProduction;
+  Run(node, urgent);
   AdvanceTime(0.3);
   node.core.Tick(now, wall);
-  WriteBatch plan = node.core.NextWriteBatch(now);
-  ASSERT_EQ(plan.puts.size(), 1U);
-  for (std::size_t i = 0; i < plan.puts.front().rewritten; ++i)
-    EXPECT_TRUE(plan.puts.front().records[i].task.machine.value.empty());
+  WriteBatch batch = node.core.NextWriteBatch(now);
+  ASSERT_EQ(batch.puts.size(), 1U);
+  for (std::size_t i = 0; i < batch.puts.front().rewritten; ++i)
+    EXPECT_TRUE(batch.puts.front().records[i].task.machine.value.empty());
 }
 
 TEST(RecordsTest, PageKeysAndContentsAreValidated) {
@@ -100,24 +99,25 @@
     EXPECT_ANY_THROW(records::RecordPageFromJson({{}, 1}, Json::parse(bad))) << bad;
 }
 
-// Blocks of one job, as earlier versions wrote them, are read and superseded.
-TEST_F(RecordPageTest, BlocksOfEarlierVersionsAreReadAndDropped) {
+// Earlier versions wrote blocks with records of one job each. These are read, and removed once
+// later records of all their tasks are in pages.
+TEST_F(RecordPageTest, BlocksOfEarlierVersionsAreReadAndRemoved) {
   TestController& node = AddController("n0");
-  FakeWorker& w = AddWorker("m-1", "large");
+  FakeWorker& worker = AddWorker("m-1", "large");
   ASSERT_EQ(Submit(node, MakeJob("j-1", 3)), 201);
-  Transaction old;
-  old.changes.push_back(
+  Transaction txn;
+  txn.changes.push_back(
       {"t/j-1/0", Json::parse(R"({"tasks":[[0,2,1],[1,4,0,"m-1","a"],[2,3,0]]})"), std::nullopt});
-  old.changes.push_back({"p/7",
+  txn.changes.push_back({"p/7",
                          Json::parse(R"({"jobs":{"j-1":[[1,3,0,"m-9","a"],[2,4,0,"m-1","a"]]}})"),
                          std::nullopt});
-  ASSERT_EQ(store.Commit(old).status, StoreStatus::kOk);
+  ASSERT_EQ(store.Commit(txn).status, StoreStatus::kOk);
   ASSERT_TRUE(node.TakeOver(now));
   EXPECT_EQ(node.core.GetJobProgress({"j-1"})->done, 1U);
-  EXPECT_EQ(node.core.GetStatus().bound, 2U) << "the later attempt counts, wherever it stands";
+  EXPECT_EQ(node.core.GetStatus().bound, 2U) << "the later attempt is used, from a block or a page";
   Settle(node);
-  EXPECT_TRUE(w.HasLiveTask(TaskOf("j-1", 1)));
-  w.EndAll(ExitReason::kDone);
+  EXPECT_TRUE(worker.HasLiveTask(TaskOf("j-1", 1)));
+  worker.EndAll(ExitReason::kDone);
   Settle(node);
   AdvanceTime(10);
   Settle(node);
@@ -127,17 +127,17 @@
 
 TEST_F(RecordPageTest, HeartbeatWithThousandsOfUnknownTasksIsAnswered) {
   TestController& node = AddController("n0");
-  FakeWorker& w = AddWorker("m-1");
+  FakeWorker& worker = AddWorker("m-1");
   ASSERT_TRUE(node.TakeOver(now));
-  Heartbeat(node, w);
-  magpie::Heartbeat heartbeat = w.Snapshot();
+  Heartbeat(node, worker);
+  magpie::Heartbeat heartbeat = worker.Snapshot();
   for (std::uint32_t i = 0; i < 5000; ++i)
     heartbeat.tasks.push_back(
         {TaskOf("j-99", i), {1}, TaskState::kRunning, ExitReason::kNone, false});
-  const HeartbeatResponse reply = node.core.OnHeartbeat(heartbeat, now);
-  EXPECT_TRUE(reply.accepted);
-  EXPECT_GT(reply.commands.size(), 0U);
-  EXPECT_LE(reply.commands.size(), 200U) << "the rest is stopped next time";
+  const HeartbeatResponse response = node.core.OnHeartbeat(heartbeat, now);
+  EXPECT_TRUE(response.accepted);
+  EXPECT_GT(response.commands.size(), 0U);
+  EXPECT_LE(response.commands.size(), 200U) << "later responses stop the other tasks";
 }
 
 }  // namespace
--- a/tests/scheduler_test.cc
+++ b/tests/scheduler_test.cc
@@ -1,4 +1,4 @@
-// Placement, preemption and avoidance of machines by the scheduler.
+// Placement, preemption and avoidance of faulty and slow machines by the scheduler.
 #include "test_cluster.h"
 
 namespace magpie::testing {
@@ -6,18 +6,18 @@
 
 class SchedulerTest : public ClusterTest {};
 
-TEST_F(SchedulerTest, CancellationOvertakesABindingInFlight) {
+TEST_F(SchedulerTest, CancellationRejectsBindingInFlight) {
   TestController& node = AddController("n0");
-  FakeWorker& w = AddWorker("m-1");
+  FakeWorker& worker = AddWorker("m-1");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
   Run(node, MakeJob("j-1"));
   node.core.Tick(now, wall);
-  const WriteBatch plan = node.core.NextWriteBatch(now);
+  const WriteBatch batch = node.core.NextWriteBatch(now);
   ASSERT_EQ(node.api.Cancel("j-1").status, 200);
-  EXPECT_EQ(node.Finish(plan, now).status, WriteOutcome::Status::kRejected);
+  EXPECT_EQ(node.Finish(batch, now).status, WriteOutcome::Status::kRejected);
   Settle(node);
-  EXPECT_EQ(w.starts.size(), 0U);
+  EXPECT_EQ(worker.starts.size(), 0U);
   EXPECT_EQ(node.State("j-1"), "withdrawn");
   EXPECT_EQ(node.core.GetStatus().jobs, 0U);
 }
@@ -34,11 +34,12 @@
   Run(node, spread);
   Settle(node);
   auto tasks_by_zone = [&](const std::string& zone, const std::string& job) {
-    std::size_t n = 0;
-    for (FakeWorker& w : workers_)
+    std::size_t count = 0;
+    for (FakeWorker& worker : workers_)
       for (std::uint32_t i = 0; i < 8; ++i)
-        n += w.HasLiveTask(TaskOf(job, i)) && w.id().value.substr(2, 1) == zone ? 1 : 0;
-    return n;
+        count +=
+            worker.HasLiveTask(TaskOf(job, i)) && worker.id().value.substr(2, 1) == zone ? 1 : 0;
+    return count;
   };
   EXPECT_EQ(tasks_by_zone("a", "j-1") + tasks_by_zone("b", "j-1"), 3U);
   EXPECT_LE(std::max(tasks_by_zone("a", "j-1"), tasks_by_zone("b", "j-1")), 2U);
@@ -49,27 +50,27 @@
   EXPECT_EQ(std::min(tasks_by_zone("a", "j-2"), tasks_by_zone("b", "j-2")), 0U);
 }
 
-TEST_F(SchedulerTest, ForbiddenMachinesAreNotUsed) {
+TEST_F(SchedulerTest, MachinesExcludedByJobAreNotUsed) {
   TestController& node = AddController("n0");
   FakeWorker& spot = AddWorker("m-1", "small", "a", true);
   FakeWorker& large = AddWorker("m-2", "large", "b");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
-  JobSpec picky = MakeJob("j-1", 3);
-  picky.types = {{"small"}};
-  Run(node, picky);  // no spot machine and no large one
+  JobSpec restricted = MakeJob("j-1", 3);
+  restricted.types = {{"small"}};
+  Run(node, restricted);  // excludes m-1 (spot) and m-2 (large)
   Settle(node);
   EXPECT_EQ(CountLiveTasks(), 0U);
-  JobSpec easy = MakeJob("j-2", 2);
-  easy.spot = true;
-  easy.zone = "a";
-  Run(node, easy);
+  JobSpec spot_job = MakeJob("j-2", 2);
+  spot_job.spot = true;
+  spot_job.zone = "a";
+  Run(node, spot_job);
   Settle(node);
   EXPECT_EQ(spot.LiveTaskCount(), 2U);
   EXPECT_EQ(large.LiveTaskCount(), 0U);
 }
 
-TEST_F(SchedulerTest, PollsAreMonotonic) {
+TEST_F(SchedulerTest, JobStatesAreMonotonic) {
   TestController& node = AddController("n0");
   TestController& other = AddController("n1");
   AddWorker("m-1");
@@ -80,7 +81,7 @@
   Settle(node);
   EXPECT_EQ(node.State("j-1"), "running");
   ASSERT_EQ(other.api.Cancel("j-1").status, 200);
-  EXPECT_EQ(node.State("j-1"), "withdrawn") << "even before the leader has heard of it";
+  EXPECT_EQ(node.State("j-1"), "withdrawn") << "even before the leader has loaded the cancellation";
   node.ReadJobs();
   workers_.front().EndAll(ExitReason::kDone);
   Settle(node);
@@ -91,28 +92,28 @@
   EXPECT_EQ(Submit(other, MakeJob("j-2")), 200);
   EXPECT_EQ(node.State("j-3"), "404");
   store.outage = true;
-  EXPECT_EQ(node.State("j-3"), "503") << "404 only from a real read";
-  EXPECT_EQ(other.State("j-2"), "done") << "what is final may be remembered";
+  EXPECT_EQ(node.State("j-3"), "503") << "404 requires a successful read";
+  EXPECT_EQ(other.State("j-2"), "done") << "final states may be cached";
 }
 
-TEST_F(SchedulerTest, MachineThatFailsItsTasksIsAvoided) {
+TEST_F(SchedulerTest, MachineWithFailingTasksIsAvoided) {
   TestController& node = AddController("n0");
-  FakeWorker& sick = AddWorker("m-1");
+  FakeWorker& faulty = AddWorker("m-1");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
   Run(node, MakeJob("j-1", 2));
   Settle(node);
-  ASSERT_EQ(sick.LiveTaskCount(), 2U);
-  sick.EndAll(ExitReason::kError);
+  ASSERT_EQ(faulty.LiveTaskCount(), 2U);
+  faulty.EndAll(ExitReason::kError);
   FakeWorker& healthy = AddWorker("m-2");
   Settle(node);
-  EXPECT_EQ(sick.LiveTaskCount(), 0U);
+  EXPECT_EQ(faulty.LiveTaskCount(), 0U);
   EXPECT_EQ(healthy.LiveTaskCount(), 2U);
-  healthy.EndAll(ExitReason::kDone);  // now it is known that the job is not at fault
+  healthy.EndAll(ExitReason::kDone);  // proves that the job is not faulty
   Settle(node);
   bool released = false;
   for (const CloudCall& call : RunCloud(node))
-    for (const MachineId& id : call.release) released |= id == sick.id();
+    for (const MachineId& id : call.release) released |= id == faulty.id();
   EXPECT_TRUE(released);
 }
 
@@ -121,12 +122,12 @@
   FakeWorker& slow = AddWorker("m-1", "large");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
-  for (int n = 1; n <= 4; ++n) {
-    JobSpec job = MakeJob("j-" + std::to_string(n));
+  for (int number = 1; number <= 4; ++number) {
+    JobSpec job = MakeJob("j-" + std::to_string(number));
     job.checkpoint_interval = {10};
     Run(node, job);
   }
-  for (int i = 0; i < 20; ++i) {  // 80 s for tasks of 30 s
+  for (int i = 0; i < 20; ++i) {  // 80 s; the tasks' estimate is 30 s
     Settle(node, 1);
     AdvanceTime(4);
   }
@@ -137,17 +138,17 @@
   EXPECT_EQ(other.LiveTaskCount(), 4U);
 }
 
-// Found on quiet days: a job that is longer than its owner thought had dozens of
-// healthy machines cordoned, on each of which three of its tasks overran.
-TEST_F(SchedulerTest, LongJobSuspectsNoMachineUnlessItIsQuickElsewhere) {
+// A job that ran longer than its estimate had dozens of healthy machines cordoned, since three of
+// its tasks overran on each. A machine counts as slow only if the job runs faster on others.
+TEST_F(SchedulerTest, LongJobCordonsMachineOnlyIfFasterOnOthers) {
   TestController& node = AddController("n0");
   FakeWorker& one = AddWorker("m-1", "large");
   FakeWorker& two = AddWorker("m-2", "large");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
-  Run(node, MakeJob("j-1", 16));  // all of both machines
+  Run(node, MakeJob("j-1", 16));  // fills both machines
   Settle(node);
-  for (int i = 0; i < 25; ++i) {  // 100 s for tasks of 30 s
+  for (int i = 0; i < 25; ++i) {  // 100 s; the tasks' estimate is 30 s
     Settle(node, 1);
     AdvanceTime(4);
   }
@@ -156,12 +157,12 @@
   Settle(node);
   Run(node, MakeJob("j-2", 16));
   Settle(node);
-  EXPECT_EQ(one.LiveTaskCount(), 8U) << "neither was cordoned";
+  EXPECT_EQ(one.LiveTaskCount(), 8U) << "neither machine was cordoned";
   EXPECT_EQ(two.LiveTaskCount(), 8U);
   AdvanceTime(20);
   one.EndAll(ExitReason::kDone);
   Run(node, MakeJob("j-3", 8));
-  for (int i = 0; i < 10; ++i) {  // what took 20 s there takes 60 s here
+  for (int i = 0; i < 10; ++i) {  // j-2 took 20 s on m-1 and takes 60 s on m-2
     Settle(node, 1);
     AdvanceTime(4);
   }
@@ -172,7 +173,7 @@
   Run(node, MakeJob("j-4", 16));
   Settle(node);
   EXPECT_EQ(one.LiveTaskCount(), 8U);
-  EXPECT_EQ(two.LiveTaskCount(), 0U) << "this one is slow";
+  EXPECT_EQ(two.LiveTaskCount(), 0U) << "m-2 is slow";
 }
 
 TEST(JobPaceTest, TracksRunTimesOnOtherMachines) {
@@ -180,31 +181,31 @@
   pace.Add(1, 0.5);
   pace.Add(1, 0.6);
   pace.Add(2, 1e300);
-  EXPECT_FALSE(pace.MedianOnOtherMachines(2)) << "two prove nothing";
+  EXPECT_FALSE(pace.MedianOnOtherMachines(2)) << "two samples are too few";
   pace.Add(3, 0.7);
   pace.Add(4, -1);
   EXPECT_DOUBLE_EQ(*pace.MedianOnOtherMachines(2), 0.6);
-  EXPECT_DOUBLE_EQ(*pace.MedianOnOtherMachines(4), 0.7) << "nonsense moves little";
+  EXPECT_DOUBLE_EQ(*pace.MedianOnOtherMachines(4), 0.7) << "outliers have little effect";
 }
 
-TEST_F(SchedulerTest, EstimatesWrongEverywhereSuspectNoMachine) {
+TEST_F(SchedulerTest, WrongEstimatesOnAllMachinesCordonNone) {
   TestController& node = AddController("n0");
-  FakeWorker& w = AddWorker("m-1", "large");
+  FakeWorker& worker = AddWorker("m-1", "large");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
-  for (int n = 1; n <= 4; ++n) {
-    Run(node, MakeJob("j-" + std::to_string(n), 1));
-    for (int i = 0; i < 14; ++i) {  // 56 s for tasks of 30 s
+  for (int number = 1; number <= 4; ++number) {
+    Run(node, MakeJob("j-" + std::to_string(number), 1));
+    for (int i = 0; i < 14; ++i) {  // 56 s; the task's estimate is 30 s
       Settle(node, 1);
       AdvanceTime(4);
     }
-    ASSERT_EQ(w.LiveTaskCount(), 1U) << n;
-    w.EndAll(ExitReason::kDone);
+    ASSERT_EQ(worker.LiveTaskCount(), 1U) << number;
+    worker.EndAll(ExitReason::kDone);
     Settle(node);
   }
 }
 
-TEST_F(SchedulerTest, PreemptionNoticeMovesWhatWouldBeLost) {
+TEST_F(SchedulerTest, PreemptionNoticeMovesTasks) {
   TestController& node = AddController("n0");
   FakeWorker& spot = AddWorker("m-1", "small", "a", true);
   ASSERT_TRUE(node.TakeOver(now));
@@ -221,9 +222,9 @@
   EXPECT_EQ(workers_.back().LiveTaskCount(), 1U);
 }
 
-TEST_F(SchedulerTest, UrgentWorkPreemptsWhatLosesLeast) {
+TEST_F(SchedulerTest, UrgentJobPreemptsTasksWithLeastLostWork) {
   TestController& node = AddController("n0");
-  FakeWorker& w = AddWorker("m-1", "large");
+  FakeWorker& worker = AddWorker("m-1", "large");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
   Run(node, MakeJob("j-1", 4));
@@ -231,53 +232,53 @@
     Settle(node);
     AdvanceTime(4);
   }
-  Run(node, MakeJob("j-2", 4));  // the machine is full now
+  Run(node, MakeJob("j-2", 4));  // fills the machine
   Settle(node);
-  ASSERT_EQ(w.LiveTaskCount(), 8U);
+  ASSERT_EQ(worker.LiveTaskCount(), 8U);
   AdvanceTime(2);
   JobSpec equal = MakeJob("j-3");
   equal.deadline = Seconds{35};
   Run(node, equal);
   Settle(node);
-  EXPECT_FALSE(w.HasLiveTask(TaskOf("j-3"))) << "equal priority stops nothing";
-  JobSpec bindings_unpersisted = MakeJob("j-4");
-  bindings_unpersisted.priority = Priority::kHigh;
-  bindings_unpersisted.deadline = Seconds{35};
-  Run(node, bindings_unpersisted);
+  EXPECT_FALSE(worker.HasLiveTask(TaskOf("j-3"))) << "no preemption at equal priority";
+  JobSpec urgent = MakeJob("j-4");
+  urgent.priority = Priority::kHigh;
+  urgent.deadline = Seconds{35};
+  Run(node, urgent);
   Settle(node);
-  EXPECT_TRUE(w.HasLiveTask(TaskOf("j-4")));
+  EXPECT_TRUE(worker.HasLiveTask(TaskOf("j-4")));
   for (std::uint32_t i = 0; i < 4; ++i)
-    EXPECT_TRUE(w.HasLiveTask(TaskOf("j-1", i))) << "the older ones run on";
+    EXPECT_TRUE(worker.HasLiveTask(TaskOf("j-1", i))) << "the tasks that have run longer continue";
 }
 
-TEST_F(SchedulerTest, LargeArraysFitTheLimits) {
+TEST_F(SchedulerTest, LargeArrayIsWrittenWithinTransactionLimits) {
   TestController& node = AddController("n0");
   for (int i = 0; i < 30; ++i) AddWorker("m-" + std::to_string(i), "large");
   ASSERT_TRUE(node.TakeOver(now));
-  for (FakeWorker& w : workers_) Heartbeat(node, w);
+  for (FakeWorker& worker : workers_) Heartbeat(node, worker);
   Run(node, MakeJob("j-1", 100000));
   std::size_t bound = 0;
   for (;;) {
     node.core.Tick(now, wall);
-    const WriteBatch plan = node.core.NextWriteBatch(now);
-    if (plan.empty()) break;
-    const Transaction txn = records::ToTransaction(plan, node.leadership);
+    const WriteBatch batch = node.core.NextWriteBatch(now);
+    if (batch.empty()) break;
+    const Transaction txn = records::ToTransaction(batch, node.leadership);
     EXPECT_LE(txn.changes.size(), 16U);
     EXPECT_LE(txn.conditions.size(), 64U);
     std::size_t bytes = 0;
-    for (const Change& c : txn.changes) {
-      const std::size_t size = c.value ? c.value->dump().size() : 0;
+    for (const Change& change : txn.changes) {
+      const std::size_t size = change.value ? change.value->dump().size() : 0;
       EXPECT_LT(size, 16U * 1024);
       bytes += size;
     }
     EXPECT_LT(bytes, 60U * 1024);
-    node.Finish(plan, now);
+    node.Finish(batch, now);
     bound = node.core.GetStatus().bound;
   }
   EXPECT_EQ(bound, 30U * 8);
 }
 
-TEST_F(SchedulerTest, RentalNamesAreNeverReused) {
+TEST_F(SchedulerTest, ProvisioningRequestNamesAreNeverReused) {
   std::set<std::string> names;
   for (const char* label : {"n0", "n1"}) {
     TestController& node = AddController(label);
@@ -310,19 +311,19 @@
   table.Learn(job, "small", {0});
   EXPECT_DOUBLE_EQ(table.ExpectedRunTime(job, "small").value, 60);
   EXPECT_DOUBLE_EQ(table.ExpectedRunTime(job, "large").value, 60)
-      << "the class's bias serves other types";
+      << "the job class's bias applies to other machine types";
   JobSpec endless = job;
   endless.estimate = {1e9};
   EXPECT_LE(table.ExpectedRunTime(endless, "small").value, 1e8);
 }
 
-TEST(PlacementTest, TakesTheSmallestWithSlackElseTheSoonest) {
+TEST(PlacementTest, ChoosesSmallestWithSlackElseEarliest) {
   const PlacementWeights weights;
   const std::vector<PlacementOption> options{{false, 4, 4, true, {20}, {30}},
                                              {false, 16, 16, true, {5}, {20}}};
   EXPECT_EQ(ChooseOption(options, {60}, weights), 0U);
-  EXPECT_EQ(ChooseOption(options, {40}, weights), 1U) << "no slack on the small one";
-  EXPECT_EQ(ChooseOption(options, {1}, weights), 1U) << "late anyway: the soonest";
+  EXPECT_EQ(ChooseOption(options, {40}, weights), 1U) << "no slack on the small machine";
+  EXPECT_EQ(ChooseOption(options, {1}, weights), 1U) << "late on both: the earliest end";
   EXPECT_EQ(ChooseOption({}, {60}, weights), std::nullopt);
 }
 
--- a/tests/stale_heartbeat_test.cc
+++ b/tests/stale_heartbeat_test.cc
@@ -1,4 +1,4 @@
-// Copies of old heartbeats are the first that a new leader receives of a worker.
+// The first heartbeat that a new leader receives from a worker is a delayed copy of an old one.
 #include <gtest/gtest.h>
 
 #include "test_cluster.h"
@@ -8,80 +8,79 @@
 
 class StaleHeartbeatTest : public ClusterTest {
  protected:
-  // n0 leads with one worker that can't run anything yet.
+  // n0 becomes the leader; m-1 has no tasks yet.
   void Begin() {
-    before = &AddController("n0");
-    w = &AddWorker("m-1", "large");
-    ASSERT_TRUE(before->TakeOver(now));
-    Heartbeat(*before, *w);
-    Heartbeat(*before, *w);
+    old_leader = &AddController("n0");
+    worker = &AddWorker("m-1", "large");
+    ASSERT_TRUE(old_leader->TakeOver(now));
+    Heartbeat(*old_leader, *worker);
+    Heartbeat(*old_leader, *worker);
   }
-  void NextLeads() {
+  void ElectNextLeader() {
     store.ExpireLeases();
-    after = &AddController("n1");
-    ASSERT_TRUE(after->TakeOver(now));
+    new_leader = &AddController("n1");
+    ASSERT_TRUE(new_leader->TakeOver(now));
   }
-  TestController* before = nullptr;
-  TestController* after = nullptr;
-  FakeWorker* w = nullptr;
+  TestController* old_leader = nullptr;
+  TestController* new_leader = nullptr;
+  FakeWorker* worker = nullptr;
 };
 
-// A copy of a report of an earlier session is the first that a new leader hears. The
-// worker's next one, of the later session, was taken as proof that no command of an
-// earlier leader could start anything there any more; but that one had already sent a
-// command for this session, which was on its way.
-TEST_F(StaleHeartbeatTest, LaterEpochDoesNotFenceAnEarlierLeadersCommands) {
+// The new leader first receives a copy of a heartbeat of an earlier agent epoch, then a heartbeat
+// of the current one. It took the change as proof that no command of an earlier leader could start
+// a task there, but a command of the previous leader for the current epoch was still in flight.
+TEST_F(StaleHeartbeatTest, LaterAgentEpochDoesNotFenceCommandsOfEarlierLeader) {
   Begin();
-  const magpie::Heartbeat of_session_1 = w->Snapshot();
-  w->ExpireLease();
-  Heartbeat(*before, *w);
-  Run(*before, MakeJob("j-1"));
-  before->core.Tick(now, wall);
-  while (before->WriteOnce(now)) {
+  const magpie::Heartbeat heartbeat_of_epoch_1 = worker->Snapshot();
+  worker->ExpireLease();
+  Heartbeat(*old_leader, *worker);
+  Run(*old_leader, MakeJob("j-1"));
+  old_leader->core.Tick(now, wall);
+  while (old_leader->WriteOnce(now)) {
   }
-  const auto held = before->core.NextDirectCommand(now);
-  ASSERT_TRUE(held && !held->commands.empty());
-  NextLeads();
+  const auto delayed_command = old_leader->core.NextDirectCommand(now);
+  ASSERT_TRUE(delayed_command && !delayed_command->commands.empty());
+  ElectNextLeader();
   AddWorker("m-2", "large");
-  after->core.OnHeartbeat(of_session_1, now);
-  w->SetPreemptionNotice({60});                 // so that the task would go elsewhere
-  after->core.OnHeartbeat(w->Snapshot(), now);  // its answer is lost
+  new_leader->core.OnHeartbeat(heartbeat_of_epoch_1, now);
+  worker->SetPreemptionNotice({60});  // a task proved absent would be bound to m-2
+  new_leader->core.OnHeartbeat(worker->Snapshot(), now);  // the response is lost
   for (int i = 0; i < 4; ++i) {
-    after->core.Tick(now, wall);
-    while (after->WriteOnce(now)) {
+    new_leader->core.Tick(now, wall);
+    while (new_leader->WriteOnce(now)) {
     }
-    Heartbeat(*after, workers_.back());
+    Heartbeat(*new_leader, workers_.back());
     AdvanceTime(0.3);
   }
-  EXPECT_TRUE(w->Take(*held)) << "it has not heard of a later token";
-  EXPECT_EQ(CountLiveTasks(), 1U) << "it was started elsewhere as well";
-  Settle(*after);
+  EXPECT_TRUE(worker->Take(*delayed_command)) << "the worker has seen no later token";
+  EXPECT_EQ(CountLiveTasks(), 1U) << "the task was also started on another machine";
+  Settle(*new_leader);
   EXPECT_EQ(CountLiveTasks(), 1U);
 }
 
-// An attempt ended and was forgotten, its leader ended before that was durable, and the
-// next one had it run again under the same number. A copy of the report that told of the
-// end is the first that a third leader hears.
-TEST_F(StaleHeartbeatTest, OutcomeReportedBeforeOurTermEndsNothing) {
+// An attempt ended and the worker forgot it, but the leader failed before the end was durable. The
+// next leader started the same attempt again. A third leader first receives a copy of the heartbeat
+// that lists the attempt as ended.
+TEST_F(StaleHeartbeatTest, EndFromEarlierTermIsIgnored) {
   Begin();
-  Run(*before, MakeJob("j-1"));
-  Settle(*before);
-  ASSERT_EQ(w->LiveTaskCount(), 1U);
-  w->End({{"j-1"}, 0}, ExitReason::kStopped);
-  magpie::Heartbeat of_the_end = w->Snapshot();
-  of_the_end.preemption_notice = Seconds{60};  // so that the task would go elsewhere
-  // It is unbound in the leader's memory, and told to be forgotten.
-  w->Deliver(before->core.OnHeartbeat(w->Snapshot(), now));
-  Heartbeat(*before, *w);
-  ASSERT_EQ(w->ReportedTaskCount(), 0U);
-  NextLeads();
-  Settle(*after);
-  ASSERT_EQ(w->LiveTaskCount(), 1U) << "the same attempt once more";
+  Run(*old_leader, MakeJob("j-1"));
+  Settle(*old_leader);
+  ASSERT_EQ(worker->LiveTaskCount(), 1U);
+  worker->End({{"j-1"}, 0}, ExitReason::kStopped);
+  magpie::Heartbeat heartbeat_with_end = worker->Snapshot();
+  heartbeat_with_end.preemption_notice = Seconds{60};  // an ended task would be bound to m-2
+  // The leader unbinds the task in memory and tells the worker to forget it.
+  worker->Deliver(old_leader->core.OnHeartbeat(worker->Snapshot(), now));
+  Heartbeat(*old_leader, *worker);
+  ASSERT_EQ(worker->ReportedTaskCount(), 0U);
+  ElectNextLeader();
+  Settle(*new_leader);
+  ASSERT_EQ(worker->LiveTaskCount(), 1U) << "the same attempt is started again";
   store.ExpireLeases();
   TestController& third = AddController("n2");
   ASSERT_TRUE(third.TakeOver(now));
   AddWorker("m-2", "large");
-  third.core.OnHeartbeat(of_the_end, now);
+  third.core.OnHeartbeat(heartbeat_with_end, now);
   for (int i = 0; i < 4; ++i) {
     third.core.Tick(now, wall);
     while (third.WriteOnce(now)) {
@@ -90,9 +89,9 @@
     AdvanceTime(3);
   }
   EXPECT_EQ(CountLiveTasks(), 1U);
-  // What ends in our term ends, and runs elsewhere or here.
+  // An end in the leader's own term is applied, and the task is started again.
   Settle(third);
-  w->End({{"j-1"}, 0}, ExitReason::kError);
+  worker->End({{"j-1"}, 0}, ExitReason::kError);
   for (int i = 0; i < 4; ++i) {
     AdvanceTime(3);
     Settle(third);
--- a/tests/test_cluster.h
+++ b/tests/test_cluster.h
@@ -1,5 +1,5 @@
-// A small deployment in memory: controllers round one store, workers, a clock
-// that moves only when told to.
+// An in-memory cluster for tests: controllers that share one key-value store, workers, and a clock
+// that only the test advances.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -34,6 +34,7 @@
 
 inline std::string ToBody(const JobSpec& spec) { return protocol::JobToRecord(spec).dump(); }
 
+// A controller without threads or network.
 class TestController {
  public:
   TestController(FakeStore& store, const std::string& label, Scheduler::Options options,
@@ -45,13 +46,13 @@
         api(store, options.teams, {"a", "b"}, Seconds{0}, {},
             {[] { return Types(); }, [this](const JobId& id) { return core.GetJobProgress(id); },
              [] { return WallTime{1000}; }, [](Seconds) {}, [] { return Instant{1}; },
-             [this](const JobId&, Revision) { return all_know; }}),
+             [this](const JobId&, Revision) { return cancellations_acknowledged; }}),
         writer_(store,
                 {[this] { return election.view().leadership.has_value(); }, [](Seconds) {}}) {
     core.SetTypes(Types());
   }
 
-  // Takes the leadership if it is free, and rebuilds from the records.
+  // Tries to become the leader and loads the records. Returns whether it leads.
   bool TakeOver(Instant now) {
     const auto& view = election.Step();
     if (!view.leadership) return false;
@@ -59,48 +60,50 @@
     core.Start(leadership.epoch, label_ + "-" + std::to_string(leadership.epoch.value) + "-", now);
     ReadJobs();
     for (const char* prefix : {records::kBlockPrefix, records::kPagePrefix})
-      for (const StoreEntry& e : store_.Range(prefix, "", 100000).entries) {
-        const RecordPageKey key = *records::ParseRecordPageKey(e.key);
-        core.LoadRecordPage(key, records::RecordPageFromJson(key, e.value), e.revision);
+      for (const StoreEntry& entry : store_.Range(prefix, "", 100000).entries) {
+        const RecordPageKey key = *records::ParseRecordPageKey(entry.key);
+        core.LoadRecordPage(key, records::RecordPageFromJson(key, entry.value), entry.revision);
       }
     core.FinishLoad(now);
     return true;
   }
 
-  // What the watch on the jobs brings.
+  // Loads all job records, as the watch on them would.
   void ReadJobs() {
-    for (const StoreEntry& e : store_.Range(records::kJobPrefix, "", 100000).entries) {
-      const auto record = records::JobFromJson(e.value);
-      core.LoadJob(record.spec, record.must_stop(), e.revision);
+    for (const StoreEntry& entry : store_.Range(records::kJobPrefix, "", 100000).entries) {
+      const auto record = records::JobFromJson(entry.value);
+      core.LoadJob(record.spec, record.must_stop(), entry.revision);
     }
   }
 
-  // Carries out the next write of the core; false when there is none.
+  // Writes the scheduler's next batch; returns false if there is none.
   bool WriteOnce(Instant now) {
-    const WriteBatch plan = core.NextWriteBatch(now);
-    if (plan.empty()) return false;
-    Finish(plan, now);
+    const WriteBatch batch = core.NextWriteBatch(now);
+    if (batch.empty()) return false;
+    Finish(batch, now);
     return true;
   }
 
-  WriteOutcome Finish(const WriteBatch& plan, Instant now) {
-    const WriteOutcome outcome = writer_.Write(plan, leadership);
+  // Writes the batch and passes the outcome to the scheduler.
+  WriteOutcome Finish(const WriteBatch& batch, Instant now) {
+    const WriteOutcome outcome = writer_.Write(batch, leadership);
     if (outcome.status == WriteOutcome::Status::kWritten) {
-      core.OnWriteCommitted(plan, outcome.revision, now);
-    } else if (outcome.deposed || outcome.stale) {  // as the controller: commands nobody any more
+      core.OnWriteCommitted(batch, outcome.revision, now);
+    } else if (outcome.deposed || outcome.stale) {  // like Controller: stops deciding
       core.Stop();
     } else if (outcome.status == WriteOutcome::Status::kRejected) {
       for (const auto& job : outcome.reloaded)
         core.LoadJob(job.record.spec, job.record.must_stop(), job.revision);
-      core.OnWriteRejected(plan);
+      core.OnWriteRejected(batch);
     }
     return outcome;
   }
 
+  // The job's state in the answer to a query, or the HTTP status of an error.
   std::string State(const std::string& id) {
-    const HttpResponse r = api.Query(id);
-    return r.status == 200 ? Json::parse(r.body).at("mood").get<std::string>()
-                           : std::to_string(r.status);
+    const HttpResponse response = api.Query(id);
+    return response.status == 200 ? Json::parse(response.body).at("mood").get<std::string>()
+                                  : std::to_string(response.status);
   }
 
  private:
@@ -108,7 +111,7 @@
   std::string label_;
 
  public:
-  bool all_know = true;  // of a cancellation that is announced
+  bool cancellations_acknowledged = true;  // by all peers
   LeaderElection election;
   records::Leadership leadership;
   Scheduler core;
@@ -121,20 +124,20 @@
 class ClusterTest : public ::testing::Test {
  protected:
   static Scheduler::Options DefaultOptions() {
-    Scheduler::Options o;
-    o.teams = {{"red", 0, 0, 0, 0}, {"blue", 4, 6, 0, 0}};
-    o.headroom = 0;
-    return o;
+    Scheduler::Options options;
+    options.teams = {{"red", 0, 0, 0, 0}, {"blue", 4, 6, 0, 0}};
+    options.headroom = 0;
+    return options;
   }
 
   TestController& AddController(const std::string& label) {
     return controllers_.emplace_back(store, label, DefaultOptions());
   }
 
-  // A controller that ended is there again, under its label and with nothing it knew.
-  TestController& Again(const std::string& label) {
+  // Starts a new process of a controller under the same label, without its state.
+  TestController& RestartController(const std::string& label) {
     return controllers_.emplace_back(store, label, DefaultOptions(),
-                                     "run" + std::to_string(++runs_));
+                                     "run" + std::to_string(++restarts_));
   }
 
   FakeWorker& AddWorker(const std::string& name, const std::string& type = "small",
@@ -142,27 +145,27 @@
     return workers_.emplace_back(name, type, zone, spot);
   }
 
-  // One report of the worker to the node, and its response.
+  // Sends one heartbeat of the worker to the controller and delivers the response.
   void Heartbeat(TestController& node, FakeWorker& worker) {
     worker.Deliver(node.core.OnHeartbeat(worker.Snapshot(), now));
   }
 
-  // Places, writes, pushes and reports until nothing changes any more.
+  // Runs rounds of ticks, writes, direct commands and heartbeats.
   void Settle(TestController& node, int rounds = 4) {
     for (int i = 0; i < rounds; ++i) {
       node.core.Tick(now, wall);
       while (node.WriteOnce(now)) {
       }
       while (auto direct_command = node.core.NextDirectCommand(now)) {
-        for (FakeWorker& w : workers_)
-          if (w.id() == direct_command->machine) {
-            w.Take(*direct_command);
+        for (FakeWorker& worker : workers_)
+          if (worker.id() == direct_command->machine) {
+            worker.Take(*direct_command);
             node.core.OnDirectCommandResult(*direct_command, DeliveryStatus::kAnswered,
-                                            w.Snapshot(), now);
+                                            worker.Snapshot(), now);
           }
       }
-      for (FakeWorker& w : workers_)
-        if (!unresponsive_workers_.contains(w.id())) Heartbeat(node, w);
+      for (FakeWorker& worker : workers_)
+        if (!unresponsive_workers_.contains(worker.id())) Heartbeat(node, worker);
     }
   }
 
@@ -171,8 +174,8 @@
     wall.value += seconds;
   }
 
-  // Cloud calls until there are none due; lists come from `listed`, and
-  // releases are carried out.
+  // Executes cloud calls until there are none: lists return `listed`, releases are confirmed and
+  // provisioning is refused. Returns the calls.
   std::vector<CloudCall> RunCloud(TestController& node) {
     std::vector<CloudCall> calls;
     while (auto call = node.core.NextCloudCall(now)) {
@@ -188,25 +191,25 @@
     return node.api.Submit(ToBody(spec)).status;
   }
 
-  // Submits to the leader and lets it know.
+  // Submits the job and loads it into the scheduler.
   void Run(TestController& node, const JobSpec& spec) {
     ASSERT_EQ(Submit(node, spec), 201);
     node.ReadJobs();
   }
 
   std::size_t CountLiveTasks() const {
-    std::size_t n = 0;
-    for (const FakeWorker& w : workers_) n += w.LiveTaskCount();
-    return n;
+    std::size_t count = 0;
+    for (const FakeWorker& worker : workers_) count += worker.LiveTaskCount();
+    return count;
   }
 
   FakeStore store;
   Instant now{100};
   WallTime wall{1000};
   std::list<TestController> controllers_;
-  int runs_ = 0;
+  int restarts_ = 0;
   std::list<FakeWorker> workers_;
-  std::set<MachineId> unresponsive_workers_;
+  std::set<MachineId> unresponsive_workers_;  // send no heartbeats in Settle
   std::vector<ListedMachine> listed;
 };
 
