--- a/tests/quick_restart_test.cc
+++ b/tests/quick_restart_test.cc
@@ -11,8 +11,8 @@
  protected:
   // Delivers direct commands and probes. The controller crashes at the command that
   // commands_until_crash selects: the fault decides whether that command is executed, lost or late.
-  void DeliverDirectCommands(TestController& node) {
-    while (auto direct_command = node.core.NextDirectCommand(now)) {
+  void DeliverDirectCommands(TestController& controller) {
+    while (auto direct_command = controller.core.NextDirectCommand(now)) {
       FakeWorker& worker = WorkerOf(direct_command->machine);
       if (commands_until_crash >= 0 && commands_until_crash-- == 0) {
         if (store.crash_fault == Fault::kLoseResponse) worker.Take(*direct_command);
@@ -20,13 +20,14 @@
         throw FakeStore::Crashed{};
       }
       worker.Take(*direct_command);
-      node.core.OnDirectCommandResult(*direct_command, DeliveryStatus::kAnswered, worker.Snapshot(),
-                                      now);
+      controller.core.OnDirectCommandResult(*direct_command, DeliveryStatus::kAnswered,
+                                            worker.Snapshot(), now);
     }
-    while (auto probe = node.core.NextProbe(now)) {
+    while (auto probe = controller.core.NextProbe(now)) {
       FakeWorker& worker = WorkerOf(probe->machine);
       worker.Take(*probe);
-      node.core.OnDirectCommandResult(*probe, DeliveryStatus::kAnswered, worker.Snapshot(), now);
+      controller.core.OnDirectCommandResult(*probe, DeliveryStatus::kAnswered, worker.Snapshot(),
+                                            now);
     }
   }
 
@@ -35,12 +36,12 @@
                          [&](const FakeWorker& worker) { return worker.id() == id; });
   }
 
-  void Round(TestController& node) {
-    node.core.Tick(now, wall);
-    while (node.WriteOnce(now)) Check();
-    DeliverDirectCommands(node);
+  void Round(TestController& controller) {
+    controller.core.Tick(now, wall);
+    while (controller.WriteOnce(now)) Check();
+    DeliverDirectCommands(controller);
     Check();
-    for (FakeWorker& worker : workers_) Heartbeat(node, worker);
+    for (FakeWorker& worker : workers_) Heartbeat(controller, worker);
     Check();
     AdvanceTime(0.3);
   }
@@ -88,19 +89,19 @@
     };
     set_next_crash();
     int crash_count = 0;
-    TestController* node = nullptr;
+    TestController* controller = nullptr;
     const auto is_done = [&](const std::string& state) { return state == "done"; };
     for (int round = 0; round < 80; ++round) {
       try {
-        if (node == nullptr) node = &RestartController("n0");
-        if (!node->core.leading() && !node->TakeOver(now)) continue;
+        if (controller == nullptr) controller = &RestartController("n0");
+        if (!controller->core.leading() && !controller->TakeOver(now)) continue;
         for (const auto& [job, tasks] : jobs_) {
           JobSpec spec = MakeJob(job, tasks);
           if (job == "j-2") spec.team = "blue";
-          Submit(*node, spec);  // repeated in every round, as users may do
+          Submit(*controller, spec);  // repeated in every round, as users may do
         }
-        node->ReadJobs();
-        Round(*node);
+        controller->ReadJobs();
+        Round(*controller);
         CompleteSomeTasks(round);
         if (round % 4 == 3 && !delayed_commands_.empty()) {
           WorkerOf(delayed_commands_.front().machine).Take(delayed_commands_.front());
@@ -108,19 +109,19 @@
           Check();
         }
         if (round % 4 == 1 && store.has_delayed_transactions()) store.DeliverDelayed();
-        if (is_done(node->State("j-1")) && is_done(node->State("j-2"))) break;
+        if (is_done(controller->State("j-1")) && is_done(controller->State("j-2"))) break;
       } catch (const FakeStore::Crashed&) {
-        node = nullptr;  // restarts in the next round
+        controller = nullptr;  // restarts in the next round
         ++crash_count;
         ++next;
         set_next_crash();
       }
     }
     store.commits_until_crash = commands_until_crash = -1;
-    EXPECT_NE(node, nullptr);
-    if (node == nullptr) return crash_count;
-    EXPECT_EQ(node->State("j-1"), "done");
-    EXPECT_EQ(node->State("j-2"), "done");
+    EXPECT_NE(controller, nullptr);
+    if (controller == nullptr) return crash_count;
+    EXPECT_EQ(controller->State("j-1"), "done");
+    EXPECT_EQ(controller->State("j-2"), "done");
     return crash_count;
   }
 
@@ -218,8 +219,8 @@
   std::size_t keys = 0;
   for (int i = 0; i < 50; ++i) {
     const int commits_before = store.commits;
-    TestController& node = RestartController("n0");
-    ASSERT_TRUE(node.TakeOver(now));
+    TestController& controller = RestartController("n0");
+    ASSERT_TRUE(controller.TakeOver(now));
     EXPECT_LE(store.commits - commits_before, 3);
     const std::size_t key_count = store.Range("", "", 1000).entries.size();
     if (i > 0) {
@@ -257,22 +258,22 @@
 TEST_F(QuickRestartTest, MachineWithLostStateIsDetected) {
   FakeWorker& worker = AddWorker("m-1");
   FakeWorker& other = AddWorker("m-2");
-  TestController& node = AddController("n0");
-  ASSERT_TRUE(node.TakeOver(now));
-  Settle(node);
-  Run(node, MakeJob("j-1", 2));
-  for (int i = 0; i < 3; ++i) Round(node);
+  TestController& controller = AddController("n0");
+  ASSERT_TRUE(controller.TakeOver(now));
+  Settle(controller);
+  Run(controller, MakeJob("j-1", 2));
+  for (int i = 0; i < 3; ++i) Round(controller);
   FakeWorker& restarted = worker.LiveTaskCount() > 0 ? worker : other;
   magpie::Heartbeat delayed_heartbeat = restarted.Snapshot();
   delayed_heartbeat.sequence += 5;  // the last one before the restart is still in flight
   restarted.Restart(true);
   jobs_ = {{"j-1", 2}};
   for (int i = 0; i < 12; ++i) {
-    if (i == 6) restarted.Deliver(node.core.OnHeartbeat(delayed_heartbeat, now));
-    Round(node);
+    if (i == 6) restarted.Deliver(controller.core.OnHeartbeat(delayed_heartbeat, now));
+    Round(controller);
   }
   EXPECT_EQ(CountLiveTasks(), 2U);
-  EXPECT_EQ(node.core.GetJobProgress({"j-1"})->running, 2U);
+  EXPECT_EQ(controller.core.GetJobProgress({"j-1"})->running, 2U);
 }
 
 // A copy of a `run` command from before the restart arrives at a worker that has lost its state and
@@ -282,28 +283,29 @@
   FakeWorker& worker = AddWorker("m-1");
   AddWorker("m-2");
   AddWorker("m-3");
-  TestController& node = AddController("n0");
-  ASSERT_TRUE(node.TakeOver(now));
-  Settle(node);
-  Run(node, MakeJob("j-1", 6));
-  node.core.Tick(now, wall);
-  while (node.WriteOnce(now)) {
+  TestController& controller = AddController("n0");
+  ASSERT_TRUE(controller.TakeOver(now));
+  Settle(controller);
+  Run(controller, MakeJob("j-1", 6));
+  controller.core.Tick(now, wall);
+  while (controller.WriteOnce(now)) {
   }
   std::deque<magpie::DirectCommand> sent;
-  while (auto direct_command = node.core.NextDirectCommand(now)) {
+  while (auto direct_command = controller.core.NextDirectCommand(now)) {
     WorkerOf(direct_command->machine).Take(*direct_command);
     sent.push_back(*direct_command);
-    node.core.OnDirectCommandResult(*direct_command, DeliveryStatus::kUnknown, std::nullopt, now);
+    controller.core.OnDirectCommandResult(*direct_command, DeliveryStatus::kUnknown, std::nullopt,
+                                          now);
   }
   ASSERT_EQ(CountLiveTasks(), 6U);
   jobs_ = {{"j-1", 6}};
-  for (FakeWorker& worker : workers_) Heartbeat(node, worker);
+  for (FakeWorker& worker : workers_) Heartbeat(controller, worker);
   worker.Restart(true);
   for (int i = 0; i < 16; ++i) {
     if (i == 2)
       for (const magpie::DirectCommand& direct_command : sent)
         WorkerOf(direct_command.machine).Take(direct_command);
-    Round(node);
+    Round(controller);
   }
   EXPECT_EQ(CountLiveTasks(), 6U);
 }
@@ -312,17 +314,17 @@
 // token but loses its tasks.
 TEST_F(QuickRestartTest, MachineWithKeptSequenceNumbersRunsTasksAgain) {
   FakeWorker& worker = AddWorker("m-1");
-  TestController& node = AddController("n0");
-  ASSERT_TRUE(node.TakeOver(now));
-  Settle(node);
-  Run(node, MakeJob("j-1", 2));
-  Settle(node);
+  TestController& controller = AddController("n0");
+  ASSERT_TRUE(controller.TakeOver(now));
+  Settle(controller);
+  Run(controller, MakeJob("j-1", 2));
+  Settle(controller);
   ASSERT_EQ(worker.LiveTaskCount(), 2U);
   worker.Restart(false);
-  Heartbeat(node, worker);
-  EXPECT_EQ(node.core.GetJobProgress({"j-1"})->running, 0U)
+  Heartbeat(controller, worker);
+  EXPECT_EQ(controller.core.GetJobProgress({"j-1"})->running, 0U)
       << "the lost tasks are not counted as running";
-  Settle(node);
+  Settle(controller);
   EXPECT_EQ(worker.LiveTaskCount(), 2U);
 }
 
--- a/tests/quota_test.cc
+++ b/tests/quota_test.cc
@@ -85,11 +85,12 @@
   }
 
   // Delivers the leader's probes, which must all be to the worker.
-  void Probe(TestController& node, FakeWorker& worker) {
-    while (const auto probe = node.core.NextProbe(now)) {
+  void Probe(TestController& controller, FakeWorker& worker) {
+    while (const auto probe = controller.core.NextProbe(now)) {
       ASSERT_EQ(probe->machine, worker.id()) << "the other workers send heartbeats";
       worker.Take(*probe);
-      node.core.OnDirectCommandResult(*probe, DeliveryStatus::kAnswered, worker.Snapshot(), now);
+      controller.core.OnDirectCommandResult(*probe, DeliveryStatus::kAnswered, worker.Snapshot(),
+                                            now);
     }
   }
 
--- a/tests/test_cluster.h
+++ b/tests/test_cluster.h
@@ -146,26 +146,26 @@
   }
 
   // Sends one heartbeat of the worker to the controller and delivers the response.
-  void Heartbeat(TestController& node, FakeWorker& worker) {
-    worker.Deliver(node.core.OnHeartbeat(worker.Snapshot(), now));
+  void Heartbeat(TestController& controller, FakeWorker& worker) {
+    worker.Deliver(controller.core.OnHeartbeat(worker.Snapshot(), now));
   }
 
   // Runs rounds of ticks, writes, direct commands and heartbeats.
-  void Settle(TestController& node, int rounds = 4) {
+  void Settle(TestController& controller, int rounds = 4) {
     for (int i = 0; i < rounds; ++i) {
-      node.core.Tick(now, wall);
-      while (node.WriteOnce(now)) {
+      controller.core.Tick(now, wall);
+      while (controller.WriteOnce(now)) {
       }
-      while (auto direct_command = node.core.NextDirectCommand(now)) {
+      while (auto direct_command = controller.core.NextDirectCommand(now)) {
         for (FakeWorker& worker : workers_)
           if (worker.id() == direct_command->machine) {
             worker.Take(*direct_command);
-            node.core.OnDirectCommandResult(*direct_command, DeliveryStatus::kAnswered,
-                                            worker.Snapshot(), now);
+            controller.core.OnDirectCommandResult(*direct_command, DeliveryStatus::kAnswered,
+                                                  worker.Snapshot(), now);
           }
       }
       for (FakeWorker& worker : workers_)
-        if (!unresponsive_workers_.contains(worker.id())) Heartbeat(node, worker);
+        if (!unresponsive_workers_.contains(worker.id())) Heartbeat(controller, worker);
     }
   }
 
@@ -176,25 +176,26 @@
 
   // Executes cloud calls until there are none: lists return `listed`, releases are confirmed and
   // provisioning is refused. Returns the calls.
-  std::vector<CloudCall> RunCloud(TestController& node) {
+  std::vector<CloudCall> RunCloud(TestController& controller) {
     std::vector<CloudCall> calls;
-    while (auto call = node.core.NextCloudCall(now)) {
+    while (auto call = controller.core.NextCloudCall(now)) {
       calls.push_back(*call);
-      if (call->kind == CloudCall::Kind::kList) node.core.OnList(listed, now);
-      if (call->kind == CloudCall::Kind::kRelease) node.core.OnReleased(*call, now);
-      if (call->kind == CloudCall::Kind::kProvision) node.core.OnProvisioningRefused(*call, now);
+      if (call->kind == CloudCall::Kind::kList) controller.core.OnList(listed, now);
+      if (call->kind == CloudCall::Kind::kRelease) controller.core.OnReleased(*call, now);
+      if (call->kind == CloudCall::Kind::kProvision)
+        controller.core.OnProvisioningRefused(*call, now);
     }
     return calls;
   }
 
-  int Submit(TestController& node, const JobSpec& spec) {
-    return node.api.Submit(ToBody(spec)).status;
+  int Submit(TestController& controller, const JobSpec& spec) {
+    return controller.api.Submit(ToBody(spec)).status;
   }
 
   // Submits the job and loads it into the scheduler.
-  void Run(TestController& node, const JobSpec& spec) {
-    ASSERT_EQ(Submit(node, spec), 201);
-    node.ReadJobs();
+  void Run(TestController& controller, const JobSpec& spec) {
+    ASSERT_EQ(Submit(controller, spec), 201);
+    controller.ReadJobs();
   }
 
   std::size_t CountLiveTasks() const {
