--- a/src/admission/submission_batcher.cc
+++ b/src/admission/submission_batcher.cc
@@ -9,13 +9,13 @@
 
 namespace magpie {
 namespace {
-constexpr Seconds kFirstPause{0.05};
-constexpr Seconds kMaxPause{0.5};
+constexpr Seconds kInitialBackoff{0.05};
+constexpr Seconds kMaxBackoff{0.5};
 constexpr Seconds kMinRetryAfter{1};
-constexpr Seconds kMaxRetryAfter{5};     // more would be a guess, since the rate is being learned
-constexpr double kMaxRetrySpread = 1.5;  // so that users sent away together don't return together
-constexpr int kMaxTries = 8;
-constexpr std::size_t kMaxKeysOfSubmission = 4;  // two conditions, one change, one spare
+constexpr Seconds kMaxRetryAfter{5};     // the rate adapts, so longer predictions are unreliable
+constexpr double kMaxRetryJitter = 1.5;  // clients refused together must not retry together
+constexpr int kMaxAttempts = 8;
+constexpr std::size_t kMaxKeysPerSubmission = 4;  // two conditions, one change, one spare
 constexpr std::size_t kMaxOverheadBytes = 128;
 }  // namespace
 
@@ -23,38 +23,39 @@
     : store_(store),
       options_(options),
       hooks_(std::move(hooks)),
-      pace_(options.rate_limit),
-      backoff_(kFirstPause, kMaxPause) {}
+      rate_limiter_(options.rate_limit),
+      backoff_(kInitialBackoff, kMaxBackoff) {}
 
 SubmissionBatcher::Submission::Submission(const JobSpec& spec, Instant deadline)
     : id(spec.id),
       record(records::ToJson(records::JobRecord{spec})),
-      bytes(record.dump().size() + kMaxKeysOfSubmission * records::JobKey(id).size() +
+      bytes(record.dump().size() + kMaxKeysPerSubmission * records::JobKey(id).size() +
             kMaxOverheadBytes),
       deadline(deadline) {}
 
-void SubmissionBatcher::End(Submission& submission, Status status) {
-  submission.ended = true;
+void SubmissionBatcher::Complete(Submission& submission, Status status) {
+  submission.completed = true;
   submission.status = status;
 }
 
-// When those that wait now are written, at the present rate.
+// Estimates when the queued submissions are written at the current rate, with jitter.
 Seconds SubmissionBatcher::RetryAfter() {
-  const Seconds ahead = pace_.WaitTime(static_cast<double>(waiting_.size() + 1), hooks_.now());
-  std::uniform_real_distribution<double> spread(1, kMaxRetrySpread);
-  return std::min(kMaxRetryAfter, spread(ThreadRandom()) * std::max(kMinRetryAfter, ahead));
+  const Seconds queue_time =
+      rate_limiter_.WaitTime(static_cast<double>(queue_.size() + 1), hooks_.now());
+  std::uniform_real_distribution<double> jitter(1, kMaxRetryJitter);
+  return std::min(kMaxRetryAfter, jitter(ThreadRandom()) * std::max(kMinRetryAfter, queue_time));
 }
 
 SubmissionBatcher::Result SubmissionBatcher::Submit(const JobSpec& spec) {
   const Instant now = hooks_.now();
-  Submission submission(spec, now + options_.patience);
+  Submission submission(spec, now + options_.max_wait);
   std::unique_lock lock(mutex_);
-  if (pace_.WaitTime(static_cast<double>(waiting_.size() + 1), now) > options_.patience)
+  if (rate_limiter_.WaitTime(static_cast<double>(queue_.size() + 1), now) > options_.max_wait)
     return {Status::kUnavailable, RetryAfter()};
-  waiting_.push_back(&submission);
-  while (!submission.ended) {
+  queue_.push_back(&submission);
+  while (!submission.completed) {
     if (committing_)
-      batch_ended_.wait(lock);
+      batch_completed_.wait(lock);
     else
       CommitNextBatch(lock);
   }
@@ -64,7 +65,7 @@
 
 void SubmissionBatcher::Charge() {
   std::scoped_lock lock(mutex_);
-  pace_.AcquireNow(1, hooks_.now());
+  rate_limiter_.AcquireNow(1, hooks_.now());
 }
 
 void SubmissionBatcher::Sleep(Seconds pause, std::unique_lock<std::mutex>& lock) {
@@ -73,46 +74,46 @@
   lock.lock();
 }
 
-// One transaction for the first that wait, or a pause before it.
+// Commits one batch from the front of the queue, or sleeps until the rate limit permits one.
 void SubmissionBatcher::CommitNextBatch(std::unique_lock<std::mutex>& lock) {
   committing_ = true;
-  const Seconds early = pace_.TryAcquire(1, hooks_.now());
-  if (early.value > 0) {
-    Sleep(early, lock);
+  const Seconds delay = rate_limiter_.TryAcquire(1, hooks_.now());
+  if (delay.value > 0) {
+    Sleep(delay, lock);
   } else {
     const Batch batch = TakeBatch();
     lock.unlock();
     const BatchResult result = Commit(batch);
     lock.lock();
     ApplyResult(batch, result);
-    // After an answered read nothing is gained by a pause: `pace_` bounds what is sent again.
+    // No backoff is needed after an answered read: `rate_limiter_` bounds the rate of retries.
     const StoreStatus status = result.transaction.status;
     if (status == StoreStatus::kRefused ||
         (status == StoreStatus::kUnknown && !result.read_answered))
       Sleep(backoff_.Next(ThreadRandom()), lock);
   }
-  EndOverdue();
+  CompleteExpired();
   committing_ = false;
-  batch_ended_.notify_all();
+  batch_completed_.notify_all();
 }
 
 SubmissionBatcher::Batch SubmissionBatcher::TakeBatch() {
   Batch batch;
   std::size_t bytes = 0;
-  while (!waiting_.empty() && batch.size() < options_.max_jobs) {
-    Submission* next = waiting_.front();
-    if (!batch.empty() &&
-        (next->in_own_batch || batch.front()->in_own_batch ||
-         bytes + next->bytes > options_.max_bytes || pace_.TryAcquire(1, hooks_.now()).value > 0))
+  while (!queue_.empty() && batch.size() < options_.max_jobs) {
+    Submission* next = queue_.front();
+    if (!batch.empty() && (next->must_commit_alone || batch.front()->must_commit_alone ||
+                           bytes + next->bytes > options_.max_bytes ||
+                           rate_limiter_.TryAcquire(1, hooks_.now()).value > 0))
       break;
-    waiting_.pop_front();
+    queue_.pop_front();
     batch.push_back(next);
     bytes += next->bytes;
   }
   return batch;
 }
 
-Transaction SubmissionBatcher::TransactionOf(const Batch& batch) const {
+Transaction SubmissionBatcher::BuildTransaction(const Batch& batch) const {
   Transaction transaction;
   for (const Submission* submission : batch) {
     const std::string key = records::JobKey(submission->id);
@@ -127,35 +128,35 @@
 
 SubmissionBatcher::BatchResult SubmissionBatcher::Commit(const Batch& batch) {
   BatchResult result;
-  result.transaction = store_.Commit(TransactionOf(batch));
+  result.transaction = store_.Commit(BuildTransaction(batch));
   if (result.transaction.status == StoreStatus::kUnknown) ReadBack(batch, result);
   return result;
 }
 
-// Whether the jobs of a transaction without an answer are durable. A job that is there is known,
-// whoever wrote it; one that is absent says nothing, since the transaction may still be carried
-// out, and is submitted again under the same conditions. The transaction is atomic, so none need
-// be read after the first that is absent.
+// Checks whether the jobs of an unanswered transaction are durable. A job that is present already
+// exists, whichever controller wrote it. An absent job is inconclusive, because the transaction may
+// still be committed; it is submitted again under the same conditions. The transaction is atomic,
+// so reading stops at the first absent job.
 void SubmissionBatcher::ReadBack(const Batch& batch, BatchResult& result) {
   for (const Submission* submission : batch) {
     const GetResult got = store_.Get(records::JobKey(submission->id));
     result.read_answered = got.status == StoreStatus::kOk;
     if (!result.read_answered || !got.entry) return;
-    ++result.found;
+    ++result.found_jobs;
   }
 }
 
 void SubmissionBatcher::ApplyResult(const Batch& batch, const BatchResult& result) {
   const TransactionResult& transaction = result.transaction;
-  for (std::size_t i = 0; i < result.found; ++i) End(*batch[i], Status::kAlreadyExists);
+  for (std::size_t i = 0; i < result.found_jobs; ++i) Complete(*batch[i], Status::kAlreadyExists);
   if (transaction.status == StoreStatus::kOk) backoff_.Reset();
-  // Those that have not ended wait again, before all others.
+  // Incomplete submissions return to the front of the queue in their original order.
   for (auto it = batch.rbegin(); it != batch.rend(); ++it) {
     Submission& submission = **it;
     ApplyResult(submission, batch.size(), transaction);
-    if (!submission.ended) waiting_.push_front(&submission);
+    if (!submission.completed) queue_.push_front(&submission);
   }
-  if (transaction.rate_limited) pace_.OnRefused(hooks_.now());
+  if (transaction.rate_limited) rate_limiter_.OnRefused(hooks_.now());
 }
 
 void SubmissionBatcher::ApplyResult(Submission& submission, std::size_t batch_size,
@@ -163,25 +164,25 @@
   const auto failed = [&](const std::string& key) {
     return std::find(result.failed.begin(), result.failed.end(), key) != result.failed.end();
   };
-  const bool alone = batch_size == 1;
+  const bool is_only_job = batch_size == 1;
   const bool conflict = result.status == StoreStatus::kConflict;
   const bool malformed = result.status == StoreStatus::kInvalid;
-  if (result.status == StoreStatus::kOk) End(submission, Status::kAccepted);
-  if (conflict &&
-      (alone || failed(records::JobKey(submission.id)) || failed(records::FinalKey(submission.id))))
-    End(submission, Status::kAlreadyExists);
-  if (malformed && alone) End(submission, Status::kMalformed);
-  // Of a batch that failed for an unknown one of its jobs, each is tried alone.
-  submission.in_own_batch |= malformed || (conflict && result.failed.empty());
-  const bool try_again = ++submission.tries < kMaxTries || conflict;
-  if (!submission.ended && !try_again) End(submission, Status::kUnavailable);
+  if (result.status == StoreStatus::kOk) Complete(submission, Status::kAccepted);
+  if (conflict && (is_only_job || failed(records::JobKey(submission.id)) ||
+                   failed(records::FinalKey(submission.id))))
+    Complete(submission, Status::kAlreadyExists);
+  if (malformed && is_only_job) Complete(submission, Status::kMalformed);
+  // When it is unknown which job made the batch fail, each of its jobs is retried alone.
+  submission.must_commit_alone |= malformed || (conflict && result.failed.empty());
+  const bool may_retry = ++submission.attempts < kMaxAttempts || conflict;
+  if (!submission.completed && !may_retry) Complete(submission, Status::kUnavailable);
 }
 
-void SubmissionBatcher::EndOverdue() {
+void SubmissionBatcher::CompleteExpired() {
   const Instant now = hooks_.now();
-  std::erase_if(waiting_, [&](Submission* submission) {
+  std::erase_if(queue_, [&](Submission* submission) {
     if (submission->deadline >= now) return false;
-    End(*submission, Status::kUnavailable);
+    Complete(*submission, Status::kUnavailable);
     return true;
   });
 }
--- a/src/admission/submission_batcher.h
+++ b/src/admission/submission_batcher.h
@@ -1,4 +1,4 @@
-// Makes submitted jobs durable, many in one transaction.
+// Writes submitted jobs to the key-value store, several in one transaction.
 #pragma once
 
 #include <condition_variable>
@@ -19,17 +19,17 @@
 namespace magpie {
 
 // A job is accepted only by a transaction that found neither its record nor its final record. A
-// user who can't be served soon is told so at once, with the time after which to come back.
+// submission that cannot be written soon is refused at once, with the time after which to retry.
 //
-// Threads that submit wait here together; one of them commits for all that wait. Thread safe. The
+// Submitting threads share a queue; one of them commits batches on behalf of all. Thread safe. The
 // mutex is not held across I/O.
 class SubmissionBatcher {
  public:
   enum class Status : std::uint8_t {
     kAccepted,
-    kAlreadyExists,  // there is a record of the job already
-    kMalformed,      // the key-value store does not take its record
-    kUnavailable,    // not accepted now
+    kAlreadyExists,  // the job has a record or a final record
+    kMalformed,      // the key-value store rejects its record as malformed
+    kUnavailable,    // not accepted; the caller may retry
   };
   struct Result {
     Status status = Status::kUnavailable;
@@ -38,8 +38,8 @@
   struct Options {
     std::size_t max_jobs = 16;  // in one transaction
     std::size_t max_bytes = 48UL * 1024;
-    Seconds patience{1};                                      // nobody waits much longer than this
-    AdaptiveRateLimiter::Options rate_limit{.maximum = 1e9};  // of the changes of all jobs
+    Seconds max_wait{1};  // Submit() does not block much longer than this
+    AdaptiveRateLimiter::Options rate_limit{.maximum = 1e9};  // for the changes of all jobs
   };
   struct Hooks {
     std::function<Instant()> now;
@@ -48,58 +48,59 @@
 
   SubmissionBatcher(KeyValueStore& store, Options options, Hooks hooks);
 
-  // Blocks until the job is durable, or it is known that it can't be soon.
+  // Blocks until the job is durable, malformed, or known not to become durable soon.
   Result Submit(const JobSpec& spec);
-  // Counts a change that another made at once, which takes of the same rate.
+  // Counts a change that the caller writes directly against the same rate limit.
   void Charge();
 
  private:
-  // A submission that waits. Owned by its thread, which stays in Submit() until it has ended.
+  // A queued submission. Owned by its thread, which stays in Submit() until it is completed.
   struct Submission {
     Submission(const JobSpec& spec, Instant deadline);
     Submission(const Submission&) = delete;
     Submission& operator=(const Submission&) = delete;
     JobId id;
     Json record;
-    std::size_t bytes;          // that it adds to a transaction, at most
-    Instant deadline;           // then it is given up
-    int tries = 0;              // transactions that it was part of
-    bool in_own_batch = false;  // it, or one with it in a batch, was called malformed
-    bool ended = false;
+    std::size_t bytes;  // upper bound on what it adds to a transaction
+    Instant deadline;   // after which it is not retried
+    int attempts = 0;   // transactions that it was part of
+    // Set after a batch with this submission failed and it is unknown which job was the cause.
+    bool must_commit_alone = false;
+    bool completed = false;
     Status status = Status::kUnavailable;
   };
-  // What has become of a batch.
+  // The outcome of committing a batch.
   struct BatchResult {
     TransactionResult transaction;
-    // If the transaction had no answer: whether reads had one, and how many of the first jobs have
-    // a record.
+    // After an unanswered transaction: whether the last read was answered, and how many jobs from
+    // the start of the batch have a record.
     bool read_answered = false;
-    std::size_t found = 0;
+    std::size_t found_jobs = 0;
   };
   using Batch = std::vector<Submission*>;
 
   void CommitNextBatch(std::unique_lock<std::mutex>& lock);
   Batch TakeBatch();
-  Transaction TransactionOf(const Batch& batch) const;
+  Transaction BuildTransaction(const Batch& batch) const;
   BatchResult Commit(const Batch& batch);
   void ReadBack(const Batch& batch, BatchResult& result);
   void ApplyResult(const Batch& batch, const BatchResult& result);
   static void ApplyResult(Submission& submission, std::size_t batch_size,
                           const TransactionResult& result);
-  void EndOverdue();
+  void CompleteExpired();
   void Sleep(Seconds pause, std::unique_lock<std::mutex>& lock);
-  static void End(Submission& submission, Status status);
+  static void Complete(Submission& submission, Status status);
   Seconds RetryAfter();
 
   KeyValueStore& store_;
   const Options options_;
   const Hooks hooks_;
-  std::mutex mutex_;  // guards all below
-  std::condition_variable batch_ended_;
-  AdaptiveRateLimiter pace_;
+  std::mutex mutex_;  // guards the members below
+  std::condition_variable batch_completed_;
+  AdaptiveRateLimiter rate_limiter_;
   Backoff backoff_;
-  std::deque<Submission*> waiting_;
-  bool committing_ = false;  // by one of the threads that wait
+  std::deque<Submission*> queue_;
+  bool committing_ = false;  // one of the submitting threads is in CommitNextBatch()
 };
 
 }  // namespace magpie
--- a/src/cancellation/cancellation_broadcaster.h
+++ b/src/cancellation/cancellation_broadcaster.h
@@ -1,4 +1,4 @@
-// When a user is told that a job is cancelled.
+// Decides when a cancellation may be acknowledged to the user.
 #pragma once
 
 #include <functional>
@@ -13,51 +13,51 @@
 
 namespace magpie {
 
-// Announces cancellations to all other controllers. A user is told that a job is cancelled only
-//  (a) after every other controller has acknowledged the cancellation, asked when it was durable
-//      already; or
-//  (b) when the job is final, so that no task of it is on a machine or can start.
-// CancellationRegistry has the argument why that suffices.
+// Announces cancellations to all peers. A cancellation is acknowledged to the user only
+//  (a) after every peer has acknowledged an announcement sent when the cancellation was durable; or
+//  (b) when the job is final, so that none of its tasks is on a machine or can start.
+// CancellationRegistry explains why this suffices.
 //
-// No user waits for controllers that do not answer: those that did not answer last are asked last,
-// and not again for a moment, and nobody is asked once kPatience has passed. Then (b) remains.
+// Unresponsive peers do not delay the user: a peer that did not acknowledge its latest announcement
+// is asked last, and only after kPeerRetryInterval. No peer is asked once kBroadcastTimeout has
+// passed. The user is then answered by (b).
 //
 // Thread safe.
 class CancellationBroadcaster {
  public:
   struct Hooks {
     std::function<Instant()> now;
-    // Whether the member acknowledges the cancellation. Blocks on I/O.
-    std::function<bool(const std::string& member, const JobId& job, Revision revision)> announce;
-    // The same of this controller.
+    // Announces the cancellation; returns whether the peer acknowledged it. Blocks on I/O.
+    std::function<bool(const std::string& peer, const JobId& job, Revision revision)> announce;
+    // Records the cancellation in this controller's registry; returns whether it was recorded.
     std::function<bool(const JobId& job, Revision revision)> record;
   };
   struct Options {
-    std::vector<std::string> peers;  // all other members
-    // A lease can outlast the time limit of cancellations, so that (a) does not suffice.
+    std::vector<std::string> peers;  // all other controllers
+    // Disables (a), which does not suffice if a lease can outlast the time limit of cancellations.
     bool acknowledge_only_when_final = false;
   };
-  // Whether the time within which a cancelled job's tasks must be gone (`cancel`) leaves room for
-  // a worker's lease and for the messages that may be on their way.
-  static bool AllowsEarlyAcknowledgement(Seconds lease, Seconds cancel);
+  // Whether the time limit for stopping a cancelled job's tasks (`cancel_limit`) covers a worker's
+  // lease and the messages in flight when it ends.
+  static bool AllowsEarlyAcknowledgement(Seconds lease, Seconds cancel_limit);
 
   CancellationBroadcaster(Options options, Hooks hooks);
 
-  // Whether every controller knows of the cancellation now, so that the user may be told.
-  // `revision`: of the durable record that has it. Blocks on I/O.
+  // Announces the cancellation to the peers. Returns whether it may be acknowledged to the user
+  // now. `revision` is that of the durable record with the cancellation. Blocks on I/O.
   bool Broadcast(const JobId& job, Revision revision);
 
  private:
   struct Recipients {
-    std::vector<std::string> members;  // in the order in which they are to be asked
-    bool complete = true;              // false: some may not be asked now
+    std::vector<std::string> peers;  // in the order in which to announce
+    bool complete = true;            // false: a peer is skipped until its retry interval ends
   };
   Recipients SelectRecipients();
 
   Options options_;
   Hooks hooks_;
   std::mutex mutex_;                              // guards last_failures_; not held across I/O
-  std::map<std::string, Instant> last_failures_;  // of members that did not answer last
+  std::map<std::string, Instant> last_failures_;  // by peer; absent after an acknowledgement
 };
 
 }  // namespace magpie
--- a/src/cancellation/cancellation_registry.cc
+++ b/src/cancellation/cancellation_registry.cc
@@ -28,7 +28,7 @@
   }
 }
 
-bool HasStop(const std::vector<Command>& commands, const TaskStatus& task) {
+bool HasStopCommand(const std::vector<Command>& commands, const TaskStatus& task) {
   return std::any_of(commands.begin(), commands.end(), [&](const Command& command) {
     return command.kind == CommandKind::kStop && command.task == task.task &&
            command.attempt == task.attempt;
@@ -52,7 +52,7 @@
   return Record(ParseAnnouncement(announcement));
 }
 
-// What the cache has no room for is not known.
+// A cancellation that the full cache does not record is not acknowledged.
 bool CancellationRegistry::Record(const JobCache::Cancellation& cancellation) {
   if (!cache_.RecordCancellation(cancellation)) return false;
   on_cancellation_(cancellation);
@@ -66,7 +66,7 @@
   if (IsDisabled(SafetyCheck::kStopInResponse)) return response;
   for (const TaskStatus& task : heartbeat.tasks) {
     if (task.state == TaskState::kEnded || !cache_.IsCancelled(task.task.job)) continue;
-    if (HasStop(response.commands, task)) continue;
+    if (HasStopCommand(response.commands, task)) continue;
     response.commands.push_back({CommandKind::kStop, task.task, task.attempt, {}});
   }
   return response;
@@ -76,9 +76,9 @@
     const Heartbeat& heartbeat) {
   const bool token_can_be_raised = (heartbeat.token.value & kTokenLowMask) != kTokenLowMask;
   if (!token_can_be_raised) return std::nullopt;
-  const std::uint64_t raise = IsDisabled(SafetyCheck::kFollowerRaisesToken) ? 0 : 1;
+  const std::uint64_t increment = IsDisabled(SafetyCheck::kFollowerRaisesToken) ? 0 : 1;
   HeartbeatResponse response;
-  response.token = {heartbeat.token.value + raise};
+  response.token = {heartbeat.token.value + increment};
   return CompleteResponse(heartbeat, std::move(response));
 }
 
--- a/src/election/leader_election.cc
+++ b/src/election/leader_election.cc
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::uint32_t kRangePageSize = 100;
-// Once to see, once more after winning the leader's key, and once after writing its epoch.
+// One round reads the control keys; winning the leader key and writing its epoch each need another.
 constexpr int kMaxRounds = 3;
 
 const StoreEntry* Find(const std::vector<StoreEntry>& entries, const char* key) {
@@ -17,14 +17,14 @@
   return nullptr;
 }
 
-// A field of the entry's value; empty if it is missing.
+// A string field of the entry's value; empty if it is missing.
 std::string Field(const StoreEntry* entry, const char* field) {
   if (entry == nullptr || !entry->value.is_object()) return {};
   const auto it = entry->value.find(field);
   return it != entry->value.end() && it->is_string() ? it->get<std::string>() : std::string{};
 }
 
-// By which a transaction fails if the entry has changed or, if there is none, has appeared.
+// The revision for a condition that fails if the entry has changed or, if absent, has been created.
 Revision ExpectedRevision(const StoreEntry* entry) {
   return entry == nullptr ? Revision{0} : entry->revision;
 }
@@ -48,10 +48,10 @@
   return true;
 }
 
-// Our member key says that this run of the process lives. It replaces only what was read: a write
-// of an earlier run that arrives late, or a repeat of this one, must not bring back a key that
-// goes with another lease.
-void LeaderElection::EnsureMember(const std::vector<StoreEntry>& control) {
+// The member key shows that this process is alive. The write replaces only the revision that was
+// read, so that a delayed write of an earlier process, or a repeat of this one, cannot restore a
+// key attached to another lease.
+void LeaderElection::EnsureMemberKey(const std::vector<StoreEntry>& control) {
   const std::string key = records::MemberKey(label_);
   const StoreEntry* member = Find(control, key.c_str());
   if (published_lease_ == lease_ && Field(member, "nonce") == nonce_) return;
@@ -60,7 +60,8 @@
   if (store_.Commit(transaction).status == StoreStatus::kOk) published_lease_ = lease_;
 }
 
-// Only while the key is the one that we hold: a late copy of this write takes it from nobody.
+// Conditional on the leader key held by this process, so that a delayed copy of this write cannot
+// depose a later leader.
 bool LeaderElection::Resign() {
   if (!view_.leadership) return true;
   const TransactionResult result =
@@ -69,8 +70,8 @@
   return result.status == StoreStatus::kOk || result.status == StoreStatus::kConflict;
 }
 
-// Without the store nothing is known to have changed: a leader goes on, so that its workers'
-// leases go on being renewed.
+// While the store is unreachable, the view stays as it is: a leader keeps leading, so that it
+// keeps renewing its workers' leases.
 const LeaderElection::View& LeaderElection::Step(bool may_campaign) {
   view_.store_reachable = EnsureLease();
   if (!view_.store_reachable) return view_;
@@ -89,31 +90,33 @@
   const StoreEntry* epoch = Find(range.entries, records::kEpochKey);
   view_.leader = Field(leader, "label");
   if (epoch != nullptr) view_.epoch = epoch->revision;
-  if (HoldsKey(leader)) return ConfirmLeadership(range.entries, *leader);
+  if (HoldsLeaderKey(leader)) return ConfirmLeadership(range.entries, *leader);
   view_.leadership.reset();
-  // A key of our label that isn't ours is of an earlier run of this controller: we take it.
+  // A leader key with this label but another nonce belongs to an earlier process of this
+  // controller, so this process replaces it.
   if (leader != nullptr && view_.leader != label_) {
-    EnsureMember(range.entries);
+    EnsureMemberKey(range.entries);
     return RoundResult::kFinished;
   }
   if (leader == nullptr && !may_campaign) return RoundResult::kFinished;
   return Campaign(leader);
 }
 
-bool LeaderElection::HoldsKey(const StoreEntry* leader) const {
+bool LeaderElection::HoldsLeaderKey(const StoreEntry* leader) const {
   if (leader == nullptr) return false;
   return Field(leader, "nonce") == nonce_ ||
          (IsDisabled(SafetyCheck::kNonceMatchesProcess) && Field(leader, "label") == label_);
 }
 
-// The epoch names the revision of the key that it was won with, so that a key that was lost and
-// won again makes a new epoch.
+// The epoch record contains the revision of the leader key under which it was written, so that a
+// leader key that was lost and won again requires a new epoch.
 bool LeaderElection::HasWonEpoch(const StoreEntry* epoch, const StoreEntry& leader) const {
   if (epoch == nullptr) return false;
-  const bool of_this_run =
+  const bool is_from_this_process =
       Field(epoch, "nonce") == nonce_ || IsDisabled(SafetyCheck::kNonceMatchesProcess);
-  return of_this_run && (epoch->value.value("key", std::uint64_t{0}) == leader.revision.value ||
-                         IsDisabled(SafetyCheck::kEpochMatchesKey));
+  return is_from_this_process &&
+         (epoch->value.value("key", std::uint64_t{0}) == leader.revision.value ||
+          IsDisabled(SafetyCheck::kEpochMatchesKey));
 }
 
 LeaderElection::RoundResult LeaderElection::ConfirmLeadership(
@@ -124,7 +127,7 @@
     return WriteEpoch(leader, epoch);
   }
   view_.leadership = records::Leadership{leader.revision, epoch->revision};
-  EnsureMember(control);
+  EnsureMemberKey(control);
   return RoundResult::kFinished;
 }
 
@@ -134,16 +137,16 @@
   const Transaction transaction{
       {{records::kLeaderKey, leader.revision}, {records::kEpochKey, ExpectedRevision(epoch)}},
       {{records::kEpochKey, value, std::nullopt}}};
-  const bool refused = store_.Commit(transaction).status == StoreStatus::kRefused;
-  return refused ? RoundResult::kFinished : RoundResult::kReadAgain;
+  const bool was_refused = store_.Commit(transaction).status == StoreStatus::kRefused;
+  return was_refused ? RoundResult::kFinished : RoundResult::kReadAgain;
 }
 
 LeaderElection::RoundResult LeaderElection::Campaign(const StoreEntry* leader) {
   const Transaction transaction{
       {{records::kLeaderKey, ExpectedRevision(leader)}},
       {{records::kLeaderKey, Json{{"label", label_}, {"nonce", nonce_}}, lease_}}};
-  const bool refused = store_.Commit(transaction).status == StoreStatus::kRefused;
-  return refused ? RoundResult::kFinished : RoundResult::kReadAgain;
+  const bool was_refused = store_.Commit(transaction).status == StoreStatus::kRefused;
+  return was_refused ? RoundResult::kFinished : RoundResult::kReadAgain;
 }
 
 }  // namespace magpie
--- a/src/election/leader_election.h
+++ b/src/election/leader_election.h
@@ -1,4 +1,4 @@
-// The election of the leader, by a leased key and an epoch in the key-value store.
+// Leader election by a leased key and an epoch in the key-value store.
 #pragma once
 
 #include <cstdint>
@@ -11,28 +11,28 @@
 
 namespace magpie {
 
-// One controller's part in the election. It holds a lease of the store; the leader's key and its
-// own member key go with that lease. Whoever holds the leader's key writes the epoch, whose
-// revision makes the fencing token.
+// One controller's participation in the election. The controller holds a lease of the store, and
+// its member key and, if it leads, the leader key are attached to that lease. The holder of the
+// leader key writes the epoch, from whose revision the fencing token is made.
 //
 // Not thread safe. Each call does a bounded amount of I/O.
 class LeaderElection {
  public:
-  // `nonce` tells this run of the process from earlier ones; `lease` is how long the store keeps
-  // the keys of a controller that it doesn't hear of.
+  // `nonce` distinguishes this process from earlier ones of the same controller; `lease` is how
+  // long the store keeps the keys of a controller that does not renew its lease.
   LeaderElection(KeyValueStore& store, std::string label, std::string nonce, Seconds lease);
 
   struct View {
-    bool store_reachable = false;                   // it answered the latest step
-    std::optional<records::Leadership> leadership;  // if this controller leads
-    std::string leader;                             // the leader's label; empty: nobody leads
-    Revision epoch;                                 // the latest
+    bool store_reachable = false;                   // by the latest step
+    std::optional<records::Leadership> leadership;  // set if this controller leads
+    std::string leader;                             // the leader's label; empty: no leader
+    Revision epoch;                                 // the latest epoch that was read
   };
-  // Renews the lease and looks at the control keys; becomes the leader if nobody is and
-  // `may_campaign`. To be called about once a second, and whenever the control keys change.
+  // Renews the lease and reads the control keys; campaigns if there is no leader and `may_campaign`
+  // is set. To be called about once a second and whenever the control keys change.
   const View& Step(bool may_campaign = true);
-  // Drops the leader's key, so that another need not wait for the lease to end. False when that
-  // is not known to have been carried out.
+  // Deletes the leader key, so that another controller need not wait for the lease to expire.
+  // Returns false if it is unknown whether the deletion was carried out.
   bool Resign();
   const View& view() const { return view_; }
 
@@ -42,17 +42,17 @@
   RoundResult ConfirmLeadership(const std::vector<StoreEntry>& control, const StoreEntry& leader);
   RoundResult WriteEpoch(const StoreEntry& leader, const StoreEntry* epoch);
   RoundResult Campaign(const StoreEntry* leader);
-  bool HoldsKey(const StoreEntry* leader) const;
+  bool HoldsLeaderKey(const StoreEntry* leader) const;
   bool HasWonEpoch(const StoreEntry* epoch, const StoreEntry& leader) const;
   bool EnsureLease();
-  void EnsureMember(const std::vector<StoreEntry>& control);
+  void EnsureMemberKey(const std::vector<StoreEntry>& control);
 
   KeyValueStore& store_;
   std::string label_;
   std::string nonce_;
   Seconds lease_duration_;
   std::optional<LeaseId> lease_;
-  std::optional<LeaseId> published_lease_;  // with which our member key was last written
+  std::optional<LeaseId> published_lease_;  // attached to the member key by its latest write
   View view_;
 };
 
--- a/src/election/leader_health.cc
+++ b/src/election/leader_health.cc
@@ -5,14 +5,15 @@
 namespace magpie {
 namespace {
 constexpr std::size_t kMinRelayedMachines = 3;
-constexpr std::size_t kRelayedMachinesDivisor = 8;  // at least this fraction of all machines
+constexpr std::size_t kRelayedMachinesDivisor = 8;  // ShouldResign() needs 1/8 of all machines
 constexpr std::size_t kMaxRelayedHeartbeats = 4096;
-constexpr double kSilenceFactor = 8;  // in mean intervals between two heartbeats of any machine
-constexpr Seconds kMinSilence{2.5};
-constexpr Seconds kSettlingTime{5};  // after a takeover, until workers have found the leader
-constexpr Seconds kFirstNoCampaign{30};
-constexpr Seconds kMaxNoCampaign{240};
-constexpr Seconds kMaxTimeWithoutLeader{3};
+// Multiple of the mean interval between consecutive heartbeats of all machines together.
+constexpr double kContactTimeoutFactor = 8;
+constexpr Seconds kMinContactTimeout{2.5};
+constexpr Seconds kSettlingTime{5};  // after a takeover, for workers to find the leader
+constexpr Seconds kMinNoCampaignInterval{30};
+constexpr Seconds kMaxNoCampaignInterval{240};
+constexpr Seconds kMaxLeaderlessTime{3};
 }  // namespace
 
 void LeaderHealth::OnElected(Instant now) {
@@ -29,10 +30,11 @@
   if (relayed_heartbeats_.size() < kMaxRelayedHeartbeats) relayed_heartbeats_[machine] = now;
 }
 
-// For how long no worker may reach a leader that all workers can reach.
-Seconds LeaderHealth::MaxSilenceByChance(std::size_t machines) const {
-  const double senders = static_cast<double>(std::max<std::size_t>(machines, 1));
-  return std::max(kMinSilence, (kSilenceFactor / senders) * heartbeat_interval_);
+// The longest period without direct contact that is plausible when all workers reach the leader.
+Seconds LeaderHealth::DirectContactTimeout(std::size_t machines) const {
+  const double machine_count = static_cast<double>(std::max<std::size_t>(machines, 1));
+  return std::max(kMinContactTimeout,
+                  (kContactTimeoutFactor / machine_count) * heartbeat_interval_);
 }
 
 bool LeaderHealth::ShouldResign(std::size_t machines, Instant now) const {
@@ -40,16 +42,17 @@
   if (relayed_heartbeats_.size() < min_relayed) return false;
   if (now - elected_at_ < kSettlingTime + heartbeat_interval_) return false;
   if (now < no_campaign_until_) return false;
-  return now - last_direct_contact_ > MaxSilenceByChance(machines);
+  return now - last_direct_contact_ > DirectContactTimeout(machines);
 }
 
 void LeaderHealth::OnResigned(Instant now) {
-  no_campaign_for_ = std::min(kMaxNoCampaign, std::max(kFirstNoCampaign, 2.0 * no_campaign_for_));
-  no_campaign_until_ = now + no_campaign_for_;
+  no_campaign_interval_ = std::min(kMaxNoCampaignInterval,
+                                   std::max(kMinNoCampaignInterval, 2.0 * no_campaign_interval_));
+  no_campaign_until_ = now + no_campaign_interval_;
 }
 
 bool LeaderHealth::MayCampaign(Instant no_leader_since, Instant now) const {
-  return now >= no_campaign_until_ || now - no_leader_since > kMaxTimeWithoutLeader;
+  return now >= no_campaign_until_ || now - no_leader_since > kMaxLeaderlessTime;
 }
 
 }  // namespace magpie
--- a/src/failover/failover_timeline.h
+++ b/src/failover/failover_timeline.h
@@ -1,7 +1,7 @@
-// How far a controller that starts or takes over has come, and when: what operators ask first after
-// all controllers went down.
+// Records when a starting controller reaches each step of a takeover, for operators who follow a
+// restart of all controllers.
 //
-// Invariant: a step is recorded once, when it is first reached. A new term of leadership starts
+// Invariant: each step is recorded once, when it is first reached. A new term of leadership starts
 // over from kElected. Pure: the caller passes the time. Not thread-safe.
 #pragma once
 
@@ -13,34 +13,34 @@
 
 namespace magpie {
 
-// The steps of one takeover.
+// The steps of one takeover and the times at which they were reached.
 class FailoverTimeline {
  public:
   enum class Step : std::uint8_t {
     kStoreReached,    // the key-value store has answered
-    kElected,         // with an epoch of its own
-    kRecordsLoaded,   // all records
-    kFirstCommand,    // the first command to a worker was given
-    kHalfReconciled,  // of the machines that hold tasks by the records are reconciled
-    kMostReconciled,  // 99% of them
-    kSettled,         // the same, and no command and no write waits
+    kElected,         // the controller leads with its own epoch
+    kRecordsLoaded,   // all records are loaded
+    kFirstCommand,    // the first command is sent to a worker
+    kHalfReconciled,  // 50% of the machines with recorded tasks are reconciled
+    kMostReconciled,  // 99% of these machines are reconciled
+    kSettled,         // kMostReconciled holds, and no command or write is pending
   };
   static constexpr std::size_t kSteps = 7;
   static const char* NameOf(Step step);
 
-  explicit FailoverTimeline(Instant listening) : listening_(listening) {}
+  explicit FailoverTimeline(Instant listening_since) : listening_since_(listening_since) {}
 
   void Record(Step step, Instant now);
-  // `reconciled` of `all` machines that held tasks by the records were heard of or removed since.
+  // `reconciled` of the `all` machines with recorded tasks have sent a heartbeat or been removed.
   void OnReconciled(std::size_t reconciled, std::size_t all, Instant now);
-  // Forgets all steps from kElected on: another term begins, or none.
+  // Clears all steps from kElected on, when the leadership is lost or won anew.
   void Restart();
-  // Time from when the controller listened; none if the step was not reached.
+  // Time from when the controller began to listen; nullopt if the step was not reached.
   std::optional<Seconds> ElapsedUntil(Step step) const;
   bool settled() const { return ElapsedUntil(Step::kSettled).has_value(); }
 
  private:
-  Instant listening_;
+  Instant listening_since_;
   std::array<std::optional<Instant>, kSteps> at_{};
 };
 
--- a/src/failure_attribution/failure_attribution.cc
+++ b/src/failure_attribution/failure_attribution.cc
@@ -5,124 +5,135 @@
 
 namespace magpie {
 namespace {
-constexpr std::size_t kMinMachinesOfFaultyJob = 3;  // that it failed on
-constexpr std::size_t kMinJobsOfFaultyMachine = 2;  // that failed on it
-constexpr std::size_t kMaxKept = 16;                // machines of a job, jobs of a machine
-constexpr std::uint32_t kMaxTasksOfSuspect = 2;     // at a time
-constexpr Seconds kFirstSuspicion{2};
+constexpr std::size_t kMinMachinesForFaultyJob = 3;   // machines on which the job failed
+constexpr std::size_t kMinJobsForFaultyMachine = 2;   // jobs that failed on the machine
+constexpr std::size_t kMaxTracked = 16;               // machines per job and jobs per machine
+constexpr std::uint32_t kMaxTasksOfSuspectedJob = 2;  // concurrent
+constexpr Seconds kInitialSuspicion{2};
 constexpr Seconds kMaxSuspicion{16};
-constexpr Seconds kFirstPause{1};
-constexpr Seconds kMaxPause{30};
-// A task runs well once it has run for so many times its job's longest failure, and a margin.
+constexpr Seconds kInitialRetryPause{1};
+constexpr Seconds kMaxRetryPause{30};
+// A task counts as running well after kRunsWellFactor times its job's longest run time until a
+// failure, plus a margin.
 constexpr double kRunsWellFactor = 3;
 constexpr Seconds kRunsWellMargin{5};
-constexpr std::uint64_t kManyAttempts = 4;  // without an end: see OnAttemptsLoaded
+constexpr std::uint64_t kSuspiciousAttempts = 4;  // of one task, none completed
 
-Seconds Doubled(Seconds first, std::uint32_t times, Seconds maximum) {
+Seconds ExponentialDelay(Seconds initial, std::uint32_t doublings, Seconds maximum) {
   constexpr std::uint32_t kMaxDoublings = 10;
-  return std::min(maximum, std::exp2(std::min(times, kMaxDoublings)) * first);
+  return std::min(maximum, std::exp2(std::min(doublings, kMaxDoublings)) * initial);
 }
 }  // namespace
 
-bool FailureAttribution::Wrong(Job job) const {
+bool FailureAttribution::IsFaulty(JobSerial job) const {
   const auto it = jobs_.find(job);
-  return it != jobs_.end() && !it->second.well && it->second.machines >= kMinMachinesOfFaultyJob;
+  return it != jobs_.end() && !it->second.ran_well &&
+         it->second.failed_machine_count >= kMinMachinesForFaultyJob;
 }
 
-bool FailureAttribution::HasSuspicion(Job job) const {
+bool FailureAttribution::HasSuspicion(JobSerial job) const {
   const auto it = jobs_.find(job);
-  return it != jobs_.end() && (it->second.failures > 0 || it->second.recalled != kUnlimited);
+  return it != jobs_.end() &&
+         (it->second.failures > 0 || it->second.max_tasks_after_takeover != kUnlimited);
 }
 
-// How many jobs failed on the machine that are not known to be faulty themselves.
-std::size_t FailureAttribution::Suspicious(const MachineState& machine) const {
+// Counts the jobs that failed on the machine and are not known to be faulty.
+std::size_t FailureAttribution::CountSuspiciousJobs(const MachineState& machine) const {
   return static_cast<std::size_t>(std::count_if(machine.jobs.begin(), machine.jobs.end(),
-                                                [this](Job job) { return !Wrong(job); }));
+                                                [this](JobSerial job) { return !IsFaulty(job); }));
 }
 
-void FailureAttribution::AddJob(MachineState& machine, Job job) const {
+void FailureAttribution::AddFailedJob(MachineState& machine, JobSerial job) const {
   if (std::find(machine.jobs.begin(), machine.jobs.end(), job) != machine.jobs.end()) return;
-  if (machine.jobs.size() >= kMaxKept)
-    std::erase_if(machine.jobs, [this](Job other) { return Wrong(other); });
-  if (machine.jobs.size() < kMaxKept) machine.jobs.push_back(job);
+  if (machine.jobs.size() >= kMaxTracked)
+    std::erase_if(machine.jobs, [this](JobSerial other) { return IsFaulty(other); });
+  if (machine.jobs.size() < kMaxTracked) machine.jobs.push_back(job);
 }
 
-FailureAttribution::Verdict FailureAttribution::OnTaskFailed(Job job, const MachineId& machine,
-                                                             Seconds life, Instant now) {
+FailureAttribution::Verdict FailureAttribution::OnTaskFailed(JobSerial job,
+                                                             const MachineId& machine,
+                                                             Seconds run_time, Instant now) {
   JobState& state = jobs_[job];
   ++state.failures;
-  state.longest = std::max(state.longest, life);
-  if (state.well) return {{machine}, {}};
-  const bool was_faulty = Wrong(job);
-  if (std::find(state.failed_on.begin(), state.failed_on.end(), machine) == state.failed_on.end()) {
-    ++state.machines;
-    if (state.failed_on.size() < kMaxKept) state.failed_on.push_back(machine);
+  state.longest_failed_run = std::max(state.longest_failed_run, run_time);
+  if (state.ran_well) return {{machine}, {}};
+  const bool was_faulty = IsFaulty(job);
+  if (std::find(state.failed_machines.begin(), state.failed_machines.end(), machine) ==
+      state.failed_machines.end()) {
+    ++state.failed_machine_count;
+    if (state.failed_machines.size() < kMaxTracked) state.failed_machines.push_back(machine);
   }
-  MachineState& host = machines_[machine];
-  AddJob(host, job);
-  if (Wrong(job)) {
-    // It fails wherever it runs, so its machines are not suspected for it any more.
+  MachineState& machine_state = machines_[machine];
+  AddFailedJob(machine_state, job);
+  if (IsFaulty(job)) {
+    // The job fails wherever it runs, so it no longer counts as evidence against its machines.
     if (!was_faulty)
-      for (const MachineId& other : state.failed_on)
+      for (const MachineId& other : state.failed_machines)
         if (const auto it = machines_.find(other);
-            it != machines_.end() && Suspicious(it->second) == 0)
+            it != machines_.end() && CountSuspiciousJobs(it->second) == 0)
           it->second.suspected_until = {};
-    // Many tasks may fail at once; each round of tries makes the pause longer.
+    // Tasks that fail during the pause belong to the same round of retries and do not extend it.
     if (now >= state.not_before)
-      state.not_before = now + Doubled(kFirstPause, state.rounds++, kMaxPause);
+      state.not_before =
+          now + ExponentialDelay(kInitialRetryPause, state.retry_rounds++, kMaxRetryPause);
     return {};
   }
-  if (Suspicious(host) >= kMinJobsOfFaultyMachine) return {{machine}, {}};
-  // Several tasks that fail there at once count as one suspicion.
-  if (now >= host.suspected_until)
-    host.suspected_until = now + Doubled(kFirstSuspicion, host.doubts++, kMaxSuspicion);
+  if (CountSuspiciousJobs(machine_state) >= kMinJobsForFaultyMachine) return {{machine}, {}};
+  // Failures on the machine while it is suspected count as one suspicion.
+  if (now >= machine_state.suspected_until)
+    machine_state.suspected_until =
+        now + ExponentialDelay(kInitialSuspicion, machine_state.suspicion_count++, kMaxSuspicion);
   return {{}, {machine}};
 }
 
-// The machines that the job failed on without a success since are faulty.
-FailureAttribution::Verdict FailureAttribution::RunsWell(Job job, const MachineId& machine) {
+// Reports the machines on which the job failed, and no task has completed since, as faulty.
+FailureAttribution::Verdict FailureAttribution::MarkRanWell(JobSerial job,
+                                                            const MachineId& machine) {
   JobState& state = jobs_[job];
   Verdict verdict;
-  for (const MachineId& other : state.failed_on)
+  for (const MachineId& other : state.failed_machines)
     if (other != machine) verdict.faulty.push_back(other);
   state = {};
-  state.well = true;
+  state.ran_well = true;
   return verdict;
 }
 
-FailureAttribution::Verdict FailureAttribution::OnTaskCompleted(Job job, const MachineId& machine) {
-  // The machine completes tasks, so jobs that failed there before did so by chance or are faulty
-  // themselves.
+FailureAttribution::Verdict FailureAttribution::OnTaskCompleted(JobSerial job,
+                                                                const MachineId& machine) {
+  // The machine completes tasks, so earlier failures on it were chance or the fault of the jobs.
   if (const auto it = machines_.find(machine); it != machines_.end()) {
-    for (const Job other : it->second.jobs)
-      if (const auto there = jobs_.find(other); there != jobs_.end())
-        std::erase(there->second.failed_on, machine);
+    for (const JobSerial other : it->second.jobs)
+      if (const auto entry = jobs_.find(other); entry != jobs_.end())
+        std::erase(entry->second.failed_machines, machine);
     machines_.erase(it);
   }
-  if (const auto it = jobs_.find(job); it != jobs_.end()) std::erase(it->second.failed_on, machine);
-  return RunsWell(job, machine);
+  if (const auto it = jobs_.find(job); it != jobs_.end())
+    std::erase(it->second.failed_machines, machine);
+  return MarkRanWell(job, machine);
 }
 
-FailureAttribution::Verdict FailureAttribution::OnTaskRunning(Job job, const MachineId& machine,
-                                                              Seconds life) {
+FailureAttribution::Verdict FailureAttribution::OnTaskRunning(JobSerial job,
+                                                              const MachineId& machine,
+                                                              Seconds run_time) {
   const auto it = jobs_.find(job);
-  if (it == jobs_.end() || it->second.well) return {};
-  if (life < kRunsWellFactor * it->second.longest + kRunsWellMargin) return {};
-  return RunsWell(job, machine);
+  if (it == jobs_.end() || it->second.ran_well) return {};
+  if (run_time < kRunsWellFactor * it->second.longest_failed_run + kRunsWellMargin) return {};
+  return MarkRanWell(job, machine);
 }
 
-void FailureAttribution::OnAttemptsLoaded(Job job, Attempt maximum) {
-  if (maximum.value >= kManyAttempts) jobs_[job].recalled = kMaxTasksOfSuspect;
+void FailureAttribution::OnAttemptsLoaded(JobSerial job, Attempt max_attempt) {
+  if (max_attempt.value >= kSuspiciousAttempts)
+    jobs_[job].max_tasks_after_takeover = kMaxTasksOfSuspectedJob;
 }
 
-void FailureAttribution::Forget(Job job) {
+void FailureAttribution::Forget(JobSerial job) {
   const auto it = jobs_.find(job);
   if (it == jobs_.end()) return;
-  for (const MachineId& machine : it->second.failed_on) {
-    const auto there = machines_.find(machine);
-    if (there == machines_.end()) continue;
-    std::erase(there->second.jobs, job);
-    if (there->second.jobs.empty()) machines_.erase(there);
+  for (const MachineId& machine : it->second.failed_machines) {
+    const auto entry = machines_.find(machine);
+    if (entry == machines_.end()) continue;
+    std::erase(entry->second.jobs, job);
+    if (entry->second.jobs.empty()) machines_.erase(entry);
   }
   jobs_.erase(it);
 }
@@ -134,17 +145,19 @@
   machines_.clear();
 }
 
-std::uint32_t FailureAttribution::MaxConcurrentTasks(Job job) const {
+std::uint32_t FailureAttribution::MaxConcurrentTasks(JobSerial job) const {
   const auto it = jobs_.find(job);
-  if (it == jobs_.end() || it->second.well) return kUnlimited;
+  if (it == jobs_.end() || it->second.ran_well) return kUnlimited;
   const JobState& state = it->second;
-  if (state.machines >= kMinMachinesOfFaultyJob) return 1;
-  return state.machines + 1 >= kMinMachinesOfFaultyJob ? kMaxTasksOfSuspect : state.recalled;
+  if (state.failed_machine_count >= kMinMachinesForFaultyJob) return 1;
+  return state.failed_machine_count + 1 >= kMinMachinesForFaultyJob
+             ? kMaxTasksOfSuspectedJob
+             : state.max_tasks_after_takeover;
 }
 
-Instant FailureAttribution::NotBefore(Job job) const {
+Instant FailureAttribution::NotBefore(JobSerial job) const {
   const auto it = jobs_.find(job);
-  return it == jobs_.end() || it->second.well ? Instant{} : it->second.not_before;
+  return it == jobs_.end() || it->second.ran_well ? Instant{} : it->second.not_before;
 }
 
 Instant FailureAttribution::SuspectedUntil(const MachineId& machine) const {
--- a/src/failure_attribution/failure_attribution.h
+++ b/src/failure_attribution/failure_attribution.h
@@ -1,15 +1,14 @@
-// Tells faulty jobs from faulty machines when tasks fail.
+// Attributes task failures to faulty jobs or to faulty machines.
 //
-// Invariant: evidence is weighed on both sides. The failures of a job that ran well anywhere are
-// attributed to the machines. A job that failed on several machines and never ran well is taken to
-// be faulty itself: it clears the machines that it failed on, and is tried a few tasks at a time
-// with growing pauses. Several jobs that fail on one machine, none of them known to be faulty, are
-// attributed to the machine. While it is undecided, the machine gets no new work for a moment, and
-// no longer.
+// Rules: Failures of a job that has run well anywhere are attributed to the machines. A job that
+// failed on several machines and never ran well is considered faulty: its failures no longer count
+// against the machines, and it is retried a few tasks at a time with growing pauses. Failures of
+// several jobs on one machine, none of them known to be faulty, are attributed to the machine.
+// Until the evidence suffices, the machine is suspected and gets no new work for a limited time.
 //
-// Pure: events and the time come in, verdicts go out. Not thread-safe. Memory is bounded: a few
-// machines for each suspicious job, a few jobs for each such machine. A takeover begins without
-// evidence (docs/notes/failure-attribution.md says what that costs).
+// Pure: takes events and the time, and returns verdicts. Not thread-safe. Memory is bounded: a
+// limited number of machines per job and of jobs per machine. A new leader starts without evidence
+// (docs/notes/failure-attribution.md describes the cost).
 #pragma once
 
 #include <cstdint>
@@ -27,62 +26,63 @@
 // Not thread-safe: it belongs to one scheduler.
 class FailureAttribution {
  public:
-  using Job = std::uint32_t;  // a job's serial; never used again
+  using JobSerial = std::uint32_t;  // never reused
   static constexpr std::uint32_t kUnlimited = std::numeric_limits<std::uint32_t>::max();
 
   struct Verdict {
-    std::vector<MachineId> faulty;     // get no more work
-    std::vector<MachineId> suspected;  // get none until SuspectedUntil
+    std::vector<MachineId> faulty;     // must get no more work
+    std::vector<MachineId> suspected;  // must get no work until SuspectedUntil()
   };
 
-  // A task of the job failed on the machine, `life` after it was seen running.
-  Verdict OnTaskFailed(Job job, const MachineId& machine, Seconds life, Instant now);
-  // A task of the job was completed on the machine.
-  Verdict OnTaskCompleted(Job job, const MachineId& machine);
-  // A task of the job has run on the machine for `life`. Services never end, and arrays may take
-  // long: far longer than the job's failures took counts as running well.
-  Verdict OnTaskRunning(Job job, const MachineId& machine, Seconds life);
-  // Whether OnTaskRunning could change anything for the job.
-  bool HasSuspicion(Job job) const;
-  // By the records at a takeover, a task of the job was bound this often and none is done. If that
-  // is often, a few tasks are tried at first.
-  void OnAttemptsLoaded(Job job, Attempt maximum);
-  void Forget(Job job);
+  // A task of the job failed on the machine, `run_time` after it was first reported running.
+  Verdict OnTaskFailed(JobSerial job, const MachineId& machine, Seconds run_time, Instant now);
+  // A task of the job completed on the machine.
+  Verdict OnTaskCompleted(JobSerial job, const MachineId& machine);
+  // A task of the job has run on the machine for `run_time`. Services never complete and arrays may
+  // take long, so a run far longer than those of the job's failed tasks counts as running well.
+  Verdict OnTaskRunning(JobSerial job, const MachineId& machine, Seconds run_time);
+  // Whether OnTaskRunning() could change the state of the job.
+  bool HasSuspicion(JobSerial job) const;
+  // The records loaded at a takeover show no completed task of the job and at most `max_attempt`
+  // attempts of a task. If that is many, the job's concurrent tasks are limited at first.
+  void OnAttemptsLoaded(JobSerial job, Attempt max_attempt);
+  void Forget(JobSerial job);
   void Forget(const MachineId& machine);
   void Clear();
 
-  // How many tasks of the job may be on machines at a time.
-  std::uint32_t MaxConcurrentTasks(Job job) const;
-  // Until when no more task of the job is started.
-  Instant NotBefore(Job job) const;
-  // Until when nothing is started on the machine.
+  // The number of tasks of the job that may be on machines at the same time.
+  std::uint32_t MaxConcurrentTasks(JobSerial job) const;
+  // No further task of the job may be started before this time.
+  Instant NotBefore(JobSerial job) const;
+  // No task may be started on the machine before this time.
   Instant SuspectedUntil(const MachineId& machine) const;
-  // Whether no machine is suspected.
-  bool quiet() const { return machines_.empty(); }
-  // Whether the job fails wherever it runs.
-  bool Wrong(Job job) const;
+  // Whether there is no evidence against any machine.
+  bool has_no_suspects() const { return machines_.empty(); }
+  // Whether the job is considered faulty: it failed on several machines and never ran well.
+  bool IsFaulty(JobSerial job) const;
 
  private:
   struct JobState {
-    bool well = false;                 // ran to its end, or for long, somewhere
-    std::uint32_t failures = 0;        // since it ran well
-    std::uint32_t machines = 0;        // that it failed on, since it ran well
-    std::vector<MachineId> failed_on;  // those without a success since
-    Seconds longest;                   // life of what failed
-    std::uint32_t rounds = 0;          // of tries since it is taken to be wrong
+    bool ran_well = false;                   // a task completed or ran for long on some machine
+    std::uint32_t failures = 0;              // since a task last ran well
+    std::uint32_t failed_machine_count = 0;  // number of machines on which it failed since then
+    std::vector<MachineId> failed_machines;  // of these, without a completed task since
+    Seconds longest_failed_run;              // the longest run time of a failed task
+    std::uint32_t retry_rounds = 0;          // of retries since the job is considered faulty
     Instant not_before;
-    std::uint32_t recalled = kUnlimited;  // tries at once after a takeover
+    std::uint32_t max_tasks_after_takeover =
+        kUnlimited;  // limit of concurrent tasks after a takeover
   };
   struct MachineState {
-    std::vector<Job> jobs;  // different ones that failed there, since a success
-    std::uint32_t doubts = 0;
+    std::vector<JobSerial> jobs;  // distinct jobs that failed on it since a task completed on it
+    std::uint32_t suspicion_count = 0;
     Instant suspected_until;
   };
-  std::size_t Suspicious(const MachineState& machine) const;
-  void AddJob(MachineState& machine, Job job) const;
-  Verdict RunsWell(Job job, const MachineId& machine);
+  std::size_t CountSuspiciousJobs(const MachineState& machine) const;
+  void AddFailedJob(MachineState& machine, JobSerial job) const;
+  Verdict MarkRanWell(JobSerial job, const MachineId& machine);
 
-  std::map<Job, JobState> jobs_;
+  std::map<JobSerial, JobState> jobs_;
   std::unordered_map<MachineId, MachineState, IdHash> machines_;
 };
 
--- a/src/kv/answer_timeout.cc
+++ b/src/kv/answer_timeout.cc
@@ -5,48 +5,52 @@
 
 namespace magpie {
 namespace {
-constexpr std::size_t kMinAnswers = 8;   // before their latencies are used
-constexpr int kToleratedUnanswered = 2;  // in a row
-constexpr int kMaxDoublings = 10;        // the maximum is reached long before
-constexpr Seconds kStep{0.01};  // rounded, since a limit that stays the same needs no system call
+constexpr std::size_t kMinSamples = 8;   // fewer latencies are not used
+constexpr int kToleratedUnanswered = 2;  // consecutive
+constexpr int kMaxDoublings = 10;        // options_.maximum is reached with fewer
+// The timeout is rounded up to a multiple of this: an unchanged socket timeout saves a system call.
+constexpr Seconds kTimeoutStep{0.01};
 }  // namespace
 
 void LatencyWindow::Add(Seconds latency) {
-  latencies_.at(next_) = static_cast<float>(latency.value);
+  samples_.at(next_) = static_cast<float>(latency.value);
   next_ = (next_ + 1) % kCapacity;
   size_ = std::min(size_ + 1, kCapacity);
 }
 
-Seconds LatencyWindow::Quantile(double share) const {
+Seconds LatencyWindow::Quantile(double quantile) const {
   if (size_ == 0) return {};
-  std::array<float, kCapacity> sorted = latencies_;
+  std::array<float, kCapacity> sorted = samples_;
   const auto end = sorted.begin() + static_cast<std::ptrdiff_t>(size_);
-  const auto rank = static_cast<std::size_t>(std::ceil(share * static_cast<double>(size_)));
+  const auto rank = static_cast<std::size_t>(std::ceil(quantile * static_cast<double>(size_)));
   const std::size_t index = std::clamp<std::size_t>(rank, 1, size_) - 1;
   const auto nth = sorted.begin() + static_cast<std::ptrdiff_t>(index);
   std::nth_element(sorted.begin(), nth, end);
   return {static_cast<double>(*nth)};
 }
 
-Seconds AnswerTimeout::Limit() const {
-  if (reads_.size() + transactions_.size() < kMinAnswers) return options_.maximum;
-  const Seconds usual =
+Seconds AnswerTimeout::Current() const {
+  if (reads_.size() + transactions_.size() < kMinSamples) return options_.maximum;
+  const Seconds typical_latency =
       std::max(reads_.Quantile(options_.quantile), transactions_.Quantile(options_.quantile));
-  const double learned = std::max(options_.minimum.value, options_.factor * usual.value);
-  const int doublings = std::clamp(unanswered_ - kToleratedUnanswered, 0, kMaxDoublings);
-  const double rounded = std::ceil(std::ldexp(learned, doublings) / kStep.value) * kStep.value;
+  const double adaptive_timeout =
+      std::max(options_.minimum.value, options_.factor * typical_latency.value);
+  const int doublings =
+      std::clamp(consecutive_unanswered_ - kToleratedUnanswered, 0, kMaxDoublings);
+  const double rounded =
+      std::ceil(std::ldexp(adaptive_timeout, doublings) / kTimeoutStep.value) * kTimeoutStep.value;
   return std::min(options_.maximum, Seconds{rounded});
 }
 
-void AnswerTimeout::ReadAnswered(Seconds latency) { reads_.Add(latency); }
+void AnswerTimeout::OnReadAnswered(Seconds latency) { reads_.Add(latency); }
 
-void AnswerTimeout::TransactionAnswered(Seconds latency) {
+void AnswerTimeout::OnTransactionAnswered(Seconds latency) {
   transactions_.Add(latency);
-  unanswered_ = 0;
+  consecutive_unanswered_ = 0;
 }
 
-void AnswerTimeout::TransactionUnanswered() {
-  if (unanswered_ < kToleratedUnanswered + kMaxDoublings) ++unanswered_;
+void AnswerTimeout::OnTransactionUnanswered() {
+  if (consecutive_unanswered_ < kToleratedUnanswered + kMaxDoublings) ++consecutive_unanswered_;
 }
 
 }  // namespace magpie
--- a/src/kv/http_key_value_store.cc
+++ b/src/kv/http_key_value_store.cc
@@ -7,11 +7,11 @@
 namespace magpie {
 namespace {
 
-constexpr std::size_t kIdleConnections = 8;
+constexpr std::size_t kMaxIdleConnections = 8;
 constexpr Seconds kConnectTimeout{1};
-constexpr Seconds kWatchMargin{5};  // beyond the time for which a watch blocks
+constexpr Seconds kWatchTimeoutMargin{5};  // added to the time for which a watch blocks
 
-// What an answer other than the expected ones means.
+// The status of a call whose response has no status code specific to the request.
 StoreStatus StatusOf(const HttpAnswer& answer) {
   if (!answer.sent) return StoreStatus::kRefused;
   if (!answer.answered) return StoreStatus::kUnknown;
@@ -36,7 +36,7 @@
   return event;
 }
 
-// Fills a result from the parsed body. An answer that doesn't follow the protocol counts as none.
+// Fills a result from the parsed body. A response that violates the protocol counts as unanswered.
 template <typename Result, typename Fill>
 Result Parse(const HttpAnswer& answer, Fill fill) {
   Result result;
@@ -44,7 +44,7 @@
     fill(Json::parse(answer.body), result);
     result.status = StoreStatus::kOk;
   } catch (const Json::exception& error) {
-    spdlog::error("state service: unexpected answer: {}", error.what());
+    spdlog::error("key-value store response malformed error={}", error.what());
     result = Result{};
     result.status = StoreStatus::kUnknown;
   }
@@ -71,7 +71,7 @@
 }
 
 HttpKeyValueStore::HttpKeyValueStore(const Address& address, Seconds timeout)
-    : client_(address, kConnectTimeout, timeout, kIdleConnections),
+    : client_(address, kConnectTimeout, timeout, kMaxIdleConnections),
       answer_timeout_({.maximum = timeout}) {}
 
 HttpAnswer HttpKeyValueStore::GetAndMeasure(const std::string& path) {
@@ -79,7 +79,7 @@
   HttpAnswer answer = client_.Get(path);
   if (answer.answered) {
     std::lock_guard lock(mutex_);
-    answer_timeout_.ReadAnswered(SteadyNow() - start);
+    answer_timeout_.OnReadAnswered(SteadyNow() - start);
   }
   return answer;
 }
@@ -110,16 +110,16 @@
   Seconds limit;
   {
     std::lock_guard lock(mutex_);
-    limit = answer_timeout_.Limit();
+    limit = answer_timeout_.Current();
   }
   const Instant start = SteadyNow();
   const HttpAnswer answer = client_.Post("/txn", body, limit);
   if (answer.sent) {
     std::lock_guard lock(mutex_);
     if (answer.answered)
-      answer_timeout_.TransactionAnswered(SteadyNow() - start);
+      answer_timeout_.OnTransactionAnswered(SteadyNow() - start);
     else
-      answer_timeout_.TransactionUnanswered();
+      answer_timeout_.OnTransactionUnanswered();
   }
   if (answer.status != 200 && answer.status != 409)
     return {StatusOf(answer), {}, {}, answer.answered && answer.status == 429};
@@ -152,7 +152,7 @@
       "/watch?under=" + prefix + "&after=" + std::to_string(after.value) +
       "&block_ms=" + std::to_string(static_cast<std::int64_t>(block.value * 1000));
   const HttpAnswer answer =
-      block.value > 0 ? client_.Get(path, block + kWatchMargin) : GetAndMeasure(path);
+      block.value > 0 ? client_.Get(path, block + kWatchTimeoutMargin) : GetAndMeasure(path);
   if (answer.answered && answer.status == 410) return {StoreStatus::kOk, true, {}, {}};
   if (answer.status != 200) return {StatusOf(answer), false, {}, {}};
   return Parse<WatchResult>(answer, [](const Json& body, WatchResult& result) {
--- a/src/kv/http_key_value_store.h
+++ b/src/kv/http_key_value_store.h
@@ -1,5 +1,4 @@
-// Client of the state service over HTTP. The protocol's field names are known in its .cc file
-// alone.
+// HTTP client of the key-value store. Only its .cc file uses the protocol's field names.
 #pragma once
 
 #include <mutex>
@@ -10,8 +9,8 @@
 
 namespace magpie {
 
-// Reads and leases wait for their answers for `timeout`, transactions for a time that is
-// learned from the latencies and never longer (kv/answer_timeout.h). Thread-safe.
+// Reads and lease requests use `timeout`. Transactions use a timeout derived from measured
+// latencies, at most `timeout` (kv/answer_timeout.h). Thread-safe.
 class HttpKeyValueStore : public KeyValueStore {
  public:
   HttpKeyValueStore(const Address& address, Seconds timeout);
@@ -25,7 +24,7 @@
   WatchResult Watch(const std::string& prefix, Revision after, Seconds block) override;
 
  private:
-  // A read that is answered at once, so that its latency counts for the timeout.
+  // For reads that the store answers without blocking: records the latency in answer_timeout_.
   HttpAnswer GetAndMeasure(const std::string& path);
 
   HttpClient client_;
@@ -33,7 +32,7 @@
   AnswerTimeout answer_timeout_;  // guarded by mutex_
 };
 
-// The body of a transaction's request.
+// The request body of a transaction.
 Json TransactionToJson(const Transaction& transaction);
 
 }  // namespace magpie
--- a/src/kv/key_value_store.h
+++ b/src/kv/key_value_store.h
@@ -1,4 +1,4 @@
-// The state service, a small consistent key-value store, as the rest of the program sees it
+// Interface of the consistent key-value store, which the protocol calls the state service
 // (PROTOCOL, "Controller nodes -> state service").
 #pragma once
 
@@ -14,29 +14,29 @@
 
 using Json = nlohmann::json;
 
-// A lease of the state service, as opposed to a worker's.
+// A lease of the key-value store, as opposed to a worker's lease.
 struct LeaseId {
   std::uint64_t value = 0;
   auto operator<=>(const LeaseId&) const = default;
 };
 
-// How a call ended.
+// The outcome of a call.
 enum class StoreStatus {
   kOk,
-  kConflict,  // a condition did not hold; nothing was changed
-  kRefused,   // not carried out, and never will be (429, 503, no connection)
+  kConflict,  // a condition did not hold; no change was made
+  kRefused,   // not carried out, now or later (429, 503, no connection)
   kInvalid,   // the request is malformed, or its lease has expired
-  kUnknown,   // it may have been carried out, or may still be
+  kUnknown,   // unanswered: may have been carried out, or may be carried out later
 };
 
-// A key that is present.
+// An existing key with its value.
 struct StoreEntry {
   std::string key;
   Json value;
   Revision revision;  // at which the key last changed
 };
 
-// Holds if the key last changed at `revision`; revision 0: if the key is absent.
+// Holds if the key was last changed at `revision`; for revision 0, if the key is absent.
 struct Condition {
   std::string key;
   Revision revision;
@@ -49,35 +49,35 @@
   std::optional<LeaseId> lease;  // the key is deleted when this lease ends
 };
 
-// Atomic: all changes are made, at one revision, if all conditions hold, and none otherwise.
+// Atomic: if all conditions hold, all changes are made at one revision; otherwise none.
 struct Transaction {
   std::vector<Condition> conditions;
   std::vector<Change> changes;
 };
 
-// The answer to a read of one key.
+// The result of reading one key.
 struct GetResult {
   StoreStatus status = StoreStatus::kUnknown;
   std::optional<StoreEntry> entry;  // nullopt with kOk: the key is absent
 };
 
-// A part of the keys with a prefix, in the order of the keys.
+// One page of the keys with a prefix, in key order.
 struct RangeResult {
   StoreStatus status = StoreStatus::kUnknown;
   std::vector<StoreEntry> entries;
-  bool more = false;  // there are keys after the last entry
-  Revision revision;  // of the store when it was read
+  bool more = false;  // keys follow after the last entry
+  Revision revision;  // of the store at the time of the read
 };
 
-// The answer to a transaction.
+// The result of a transaction.
 struct TransactionResult {
   StoreStatus status = StoreStatus::kUnknown;
   Revision revision;                // of the changes
   std::vector<std::string> failed;  // with kConflict: the keys whose conditions did not hold
-  bool rate_limited = false;        // refused for the rate alone (429): there is no outage
+  bool rate_limited = false;        // refused because of the rate limit (429), not an outage
 };
 
-// The answer to a request for a lease.
+// The result of a lease request.
 struct LeaseResult {
   StoreStatus status = StoreStatus::kUnknown;
   LeaseId lease;
@@ -90,21 +90,21 @@
   Revision revision;
 };
 
-// The changes that a watch has seen.
+// The changes returned by a watch.
 struct WatchResult {
   StoreStatus status = StoreStatus::kUnknown;
-  bool too_old = false;  // the service no longer has the changes: the keys must be read again
+  bool too_old = false;  // the store no longer has the changes; the keys must be read again
   std::vector<WatchEvent> events;
   Revision revision;  // up to which the events are complete
 };
 
-// Calls block until they are answered or out of time, and never throw for what the service does:
-// how a call ended is its status. Implementations may be called from several threads at a time.
+// Calls block until they are answered or time out. They report failures of the store by their
+// status and throw no exception for them. Implementations are thread-safe.
 class KeyValueStore {
  public:
   virtual ~KeyValueStore() = default;
   virtual GetResult Get(const std::string& key) = 0;
-  // At most `limit` keys with the prefix, after the key `after` (empty: from the first one).
+  // Returns at most `limit` keys with the prefix, after the key `after` (empty: from the first).
   virtual RangeResult Range(const std::string& prefix, const std::string& after,
                             std::uint32_t limit) = 0;
   virtual TransactionResult Commit(const Transaction& transaction) = 0;
--- a/src/overload/overload_policy.cc
+++ b/src/overload/overload_policy.cc
@@ -8,7 +8,7 @@
 namespace magpie {
 namespace {
 
-// A job with one of its targets.
+// A job to be planned for one of its targets.
 struct Candidate {
   Seconds latest_start;  // of the job's last task
   std::size_t job = 0;
@@ -18,7 +18,7 @@
   }
 };
 
-// One run of the Moore-Hodgson algorithm.
+// Runs the Moore-Hodgson algorithm once.
 class TargetPlanner {
  public:
   TargetPlanner(const std::vector<WaitingWork>& jobs, Seconds work_ahead, double alpha)
@@ -41,15 +41,15 @@
   }
 
  private:
-  // A job that is planned for a target; the largest comes up first.
+  // A job that is planned for a target, ordered by work for a max-heap.
   struct PlannedJob {
     Seconds work;
     std::size_t job = 0;
     auto operator<=>(const PlannedJob&) const = default;
   };
 
-  // Adds the job's first target, from this one on, that is not before `from`: what was planned up
-  // to there stands.
+  // Adds a candidate for the job's first target, starting with `target`, whose latest start is not
+  // before `from`. Earlier candidates are already planned and are not reconsidered.
   void AddCandidate(std::size_t job, std::size_t target, Seconds from) {
     const WaitingWork& waiting = jobs_[job];
     for (; target < waiting.targets.size(); ++target) {
@@ -61,7 +61,7 @@
   }
 
   bool IsLate(const Candidate& candidate) const {
-    // When its last task starts, its other tasks in progress are half done on average.
+    // When the job's last task starts, its other running tasks are half done on average.
     const double in_progress = jobs_[candidate.job].run_time.value / 2;
     return alpha_ * (total_work_ - in_progress) > candidate.latest_start.value;
   }
@@ -79,7 +79,7 @@
   const std::vector<WaitingWork>& jobs_;
   const double work_ahead_;
   const double alpha_;
-  double total_work_;  // of the planned jobs and of what goes ahead of them
+  double total_work_;  // of the planned jobs and the work ahead of them
   std::priority_queue<Candidate, std::vector<Candidate>, std::greater<>> candidates_;
   std::priority_queue<PlannedJob> planned_;
   OverloadDecision decision_;
--- a/src/overload/overload_policy.h
+++ b/src/overload/overload_policy.h
@@ -1,4 +1,4 @@
-// Decides which waiting jobs can still be in time when there is more work than capacity.
+// Decides which waiting jobs are planned to meet their targets when work exceeds capacity.
 #pragma once
 
 #include <cstddef>
@@ -9,31 +9,31 @@
 
 namespace magpie {
 
-// A waiting job as the overload policy sees it.
+// A waiting job, as input of the overload policy.
 struct WaitingWork {
-  Seconds work;      // the tasks still to start take all that the job may use for this long
+  Seconds work;      // time for which the unstarted tasks occupy all capacity the job may use
   Seconds run_time;  // of one task
-  std::vector<Seconds> targets;  // from now, those not yet passed, the tightest first
+  std::vector<Seconds> targets;  // relative to now, not yet passed, the earliest first
 };
 
-// Which of the waiting jobs are planned to be in time.
+// The targets that the waiting jobs are planned to meet.
 struct OverloadDecision {
-  // By position of the job: the position of the target that the job is planned for; none if it
-  // meets no target along with the others.
+  // For each job, by its index: the index of the target that it is planned for; nullopt if it can
+  // meet no target along with the other planned jobs.
   std::vector<std::optional<std::size_t>> planned_target;
   Seconds planned_work;  // of all jobs that are planned for a target
-  // A job would be late on account of the others. Without overload no job is deferred: that a job
-  // alone is expected to miss its target is no reason, since estimates are often wrong.
+  // Whether a job would be late because of the other jobs. Without overload no job is deferred: a
+  // job that would miss its target even alone is no reason, since estimates are often wrong.
   bool overloaded = false;
 };
 
-// Plans as many jobs as possible to be in time, so that those that can't be don't make others late
-// (the Moore-Hodgson algorithm for the fewest late jobs). Of the jobs planned so far when one would
-// be late, the one with the most work is planned for its next target instead, or for none.
+// Plans as many jobs as possible to meet a target, so that jobs that cannot do not make others late
+// (the Moore-Hodgson algorithm, which minimizes the number of late jobs). When a job would be late,
+// the job with the most work among those planned so far is planned for its next target, or none.
 //
-// A job is late by the PARIS/ELSA paper's slack (Equations 1 and 2) with the work ahead of it as
-// its wait: target - alpha * (work before its last task starts) - run time. `work_ahead` is the
-// work that goes before all of the jobs.
+// A job is late if its slack by the PARIS/ELSA paper (Equations 1 and 2) is negative, with the work
+// ahead of it as its wait: target - alpha * (work before its last task starts) - run time.
+// `work_ahead` is the work that precedes all of the jobs.
 OverloadDecision PlanForTargets(const std::vector<WaitingWork>& jobs, Seconds work_ahead,
                                 double alpha);
 
--- a/src/provisioning/autoscaler.cc
+++ b/src/provisioning/autoscaler.cc
@@ -28,17 +28,17 @@
   });
 }
 
-bool Autoscaler::MayRequest(const MachineKind& kind, const std::map<MachineKind, int>& have,
-                            Instant now) const {
-  constexpr Seconds kMinPause{2};
+bool Autoscaler::MayRequest(const MachineKind& kind,
+                            const std::map<MachineKind, int>& machines_by_kind, Instant now) const {
+  constexpr Seconds kMinRetryInterval{2};
   const auto refusal = refusals_.find(kind);
   if (refusal == refusals_.end()) return true;
-  const auto count = have.find(kind);
-  const int machines = count == have.end() ? 0 : count->second;
-  const Seconds since = now - refusal->second.at;
-  // What we had at the refusal was all the capacity there is; with fewer, some may be free again.
-  return since > options_.provision_retry_delay ||
-         (machines < refusal->second.have && since > kMinPause);
+  const auto count = machines_by_kind.find(kind);
+  const int machines = count == machines_by_kind.end() ? 0 : count->second;
+  const Seconds elapsed = now - refusal->second.at;
+  // The machines held at the refusal were all that the cloud had. With fewer, some may be free.
+  return elapsed > options_.provision_retry_delay ||
+         (machines < refusal->second.machine_count && elapsed > kMinRetryInterval);
 }
 
 double Autoscaler::CheapestPricePerTask(const JobSpec& spec) const {
@@ -51,12 +51,12 @@
   return cheapest;
 }
 
-std::optional<Autoscaler::Offer> Autoscaler::ChooseMachine(const CapacityDemand& demand,
-                                                           const std::map<MachineKind, int>& have,
-                                                           Instant now) const {
+std::optional<Autoscaler::Offer> Autoscaler::ChooseMachine(
+    const CapacityDemand& demand, const std::map<MachineKind, int>& machines_by_kind,
+    Instant now) const {
   const JobSpec& spec = *demand.spec;
   std::map<std::string, int> machines_by_zone;
-  for (const auto& [kind, machines] : have) machines_by_zone[kind.zone] += machines;
+  for (const auto& [kind, machines] : machines_by_kind) machines_by_zone[kind.zone] += machines;
   const double max_price = options_.max_price_ratio * CheapestPricePerTask(spec);
   std::optional<Offer> best;
   Cost best_cost;
@@ -64,15 +64,16 @@
     const std::uint32_t fitting = TasksThatFit(type.capacity, spec.per_task);
     if (fitting == 0 || !AllowsType(spec, type.name)) continue;
     const std::uint32_t tasks = std::min(fitting, demand.tasks);
-    const Seconds fetch{type.fetch_gb_per_s > 0 ? spec.image_gb / type.fetch_gb_per_s : 0};
-    const Seconds ready = type.boot_time + fetch;
+    const Seconds image_fetch_time{type.fetch_gb_per_s > 0 ? spec.image_gb / type.fetch_gb_per_s
+                                                           : 0};
+    const Seconds ready = type.boot_time + image_fetch_time;
     const bool late = ready + demand.run_time(type) > demand.target;
     for (const std::string& zone : type.zones) {
       if ((spec.zone && *spec.zone != zone) || !demand.zone_allowed(zone)) continue;
       for (const bool spot : {false, true}) {
         if (spot && !spec.spot) continue;
         const MachineKind kind{type.name, zone, spot};
-        if (!MayRequest(kind, have, now)) continue;
+        if (!MayRequest(kind, machines_by_kind, now)) continue;
         const double price = (spot ? type.spot_price : type.price) / tasks;
         if (!demand.required && price > max_price) continue;
         const Cost cost{late, price, machines_by_zone[zone]};
@@ -85,8 +86,8 @@
   return best;
 }
 
-void Autoscaler::OnRefused(const MachineKind& kind, int have, Instant now) {
-  refusals_[kind] = {have, now};
+void Autoscaler::OnRefused(const MachineKind& kind, int machine_count, Instant now) {
+  refusals_[kind] = {machine_count, now};
 }
 
 }  // namespace magpie
--- a/src/provisioning/autoscaler.h
+++ b/src/provisioning/autoscaler.h
@@ -1,4 +1,4 @@
-// Chooses the kind of machine to provision for work that the present machines can't take in time.
+// Chooses machine kinds to provision for work that the existing machines cannot complete in time.
 #pragma once
 
 #include <functional>
@@ -15,65 +15,68 @@
 
 namespace magpie {
 
-// Work that the present machines can't take in time.
+// Work that the existing machines cannot complete in time.
 struct CapacityDemand {
   const JobSpec* spec = nullptr;  // not owned
-  // Whether the job may use a machine in this zone, given where its other tasks are. Without it the
-  // cheapest machine could be planned in a zone that is full for the job, and never be requested.
+  // Whether the job may use a machine in this zone, given the zones of its other tasks. Without
+  // this check, the cheapest machine could be planned in a zone that allows the job no more tasks,
+  // and would never be requested.
   std::function<bool(const std::string& zone)> zone_allowed;
-  std::uint32_t tasks = 0;  // of this size; they share the machine's price
-  Seconds target;           // from now until the work should be done
-  bool required = false;    // at any price: the work fits nowhere else
-  std::function<Seconds(const MachineType&)> run_time;  // predicted
+  std::uint32_t tasks = 0;  // number of tasks that would share the machine and its price
+  Seconds target;           // time from now by which the work should be done
+  bool required = false;    // at any price: no other machine can run the work
+  std::function<Seconds(const MachineType&)> run_time;  // predicted, of one task
 };
 
-// Knows the machine types on offer, what they cost and which kinds the cloud refused lately.
+// Keeps the available machine types with their prices, and the kinds that the cloud refused
+// recently.
 //
-// Policy: the kind with the lowest price for each task, among those that meet the target; if none
-// does, among all. A kind that was refused is not asked for again until the refusal is old or until
-// there are fewer machines of the kind than there were at the refusal.
+// Policy: choose the kind with the lowest price per task among those that meet the target, or among
+// all kinds if none does. A refused kind is not requested again until the refusal is old or there
+// are fewer machines of the kind than at the refusal.
 class Autoscaler {
  public:
   struct Options {
-    Seconds provision_retry_delay{90};  // how long a refused kind is not asked for again
+    Seconds provision_retry_delay{90};  // after which a refused kind may be requested again
     std::uint32_t max_per_request = 8;
-    // Work that could wait gets no machine whose price for each task is more than this many times
-    // the cheapest one.
+    // Work that is not `required` gets no machine whose price per task exceeds the cheapest one by
+    // more than this factor.
     double max_price_ratio = 4;
   };
 
   // A machine to provision.
   struct Offer {
     MachineKind kind;
-    const MachineType* type = nullptr;  // owned by the autoscaler, until SetTypes()
-    Seconds ready;                      // from now until its first task runs: boot and image fetch
+    const MachineType* type = nullptr;  // owned by the autoscaler; valid until SetTypes()
+    Seconds ready;  // time from now to its first task's start: boot and image fetch
   };
 
   explicit Autoscaler(Options options) : options_(options) {}
 
   void SetTypes(std::vector<MachineType> types);
-  // Replaces a type's boot time by what is expected now.
+  // Replaces a type's boot time by the current estimate.
   void SetBootTime(const std::string& type, Seconds boot);
   const std::vector<MachineType>& types() const { return types_; }
   const Options& options() const { return options_; }
-  // The type on offer with this name; nullptr if there is none.
+  // The available type with this name; nullptr if there is none.
   const MachineType* Find(const std::string& name) const;
-  // False when no machine that could ever be provisioned would take a task of the job.
+  // Whether a task of the job fits on any machine that can be provisioned.
   bool CanEverRun(const JobSpec& spec) const;
 
-  // The machine to provision; nullopt if no kind would do. `have` counts our machines of each kind,
-  // those already planned included.
+  // The machine to provision; nullopt if no kind is suitable. `machines_by_kind` counts the
+  // cluster's machines, including those already planned.
   std::optional<Offer> ChooseMachine(const CapacityDemand& demand,
-                                     const std::map<MachineKind, int>& have, Instant now) const;
-  // The cloud had no more machines of a kind while we had `have` of them.
-  void OnRefused(const MachineKind& kind, int have, Instant now);
+                                     const std::map<MachineKind, int>& machines_by_kind,
+                                     Instant now) const;
+  // The cloud refused a machine of the kind while the cluster had `machine_count` of them.
+  void OnRefused(const MachineKind& kind, int machine_count, Instant now);
 
  private:
   struct Refusal {
-    int have = 0;
+    int machine_count = 0;
     Instant at;
   };
-  // What offers are compared by, in this order.
+  // Offers are compared by these fields in this order.
   struct Cost {
     bool late = false;
     double price_per_task = 0;
@@ -81,7 +84,7 @@
     auto operator<=>(const Cost&) const = default;
   };
 
-  bool MayRequest(const MachineKind& kind, const std::map<MachineKind, int>& have,
+  bool MayRequest(const MachineKind& kind, const std::map<MachineKind, int>& machines_by_kind,
                   Instant now) const;
   double CheapestPricePerTask(const JobSpec& spec) const;
 
--- a/src/provisioning/boot_time_estimator.cc
+++ b/src/provisioning/boot_time_estimator.cc
@@ -6,47 +6,48 @@
 namespace magpie {
 namespace {
 
-constexpr std::size_t kMaxBoots = 16;  // kept of each type
-constexpr std::size_t kMinBoots = 3;   // fewer prove nothing
-constexpr Seconds kMaxBootAge{150};
-constexpr Seconds kUnknownTypeTime{60};
-constexpr double kMaxWaitRatio = 2;    // of the wait to a boot's time, before it is disproved
-constexpr double kMinLateRatio = 2.5;  // to the nominal time
-constexpr double kLateRatio = 1.6;     // to the time in which nearly all came up
-constexpr double kNearlyAll = 0.9;     // quantile
-constexpr double kMedian = 0.5;        // quantile
-constexpr double kGiveUpRatio = 1.5;   // to the age at which a machine is late
+constexpr std::size_t kMaxSamples = 16;  // per machine type
+constexpr std::size_t kMinSamples = 3;   // with fewer, the nominal time is used
+constexpr Seconds kMaxSampleAge{150};
+constexpr Seconds kDefaultBootTime{60};
+constexpr double kMaxWaitRatio = 2;    // waiting longer than this times a sample discards it
+constexpr double kMinLateRatio = 2.5;  // times the nominal boot time
+constexpr double kLateRatio = 1.6;     // times the boot time at kLateQuantile
+constexpr double kLateQuantile = 0.9;
+constexpr double kMedian = 0.5;
+constexpr double kGiveUpRatio = 1.5;  // times the age at which a machine is late
 
 }  // namespace
 
 Seconds BootTimeEstimator::NominalTime(const std::string& type) const {
-  const auto nominal = nominal_.find(type);
-  return nominal == nominal_.end() || nominal->second.value <= 0 ? kUnknownTypeTime
-                                                                 : nominal->second;
+  const auto nominal = nominal_times_.find(type);
+  return nominal == nominal_times_.end() || nominal->second.value <= 0 ? kDefaultBootTime
+                                                                       : nominal->second;
 }
 
 void BootTimeEstimator::RecordBoot(const std::string& type, Seconds boot, Instant now) {
-  std::deque<Boot>& boots = boots_[type];
-  boots.push_back({now, boot.value / NominalTime(type).value});
-  if (boots.size() > kMaxBoots) boots.pop_front();
+  std::deque<BootSample>& samples = recent_boots_[type];
+  samples.push_back({now, boot.value / NominalTime(type).value});
+  if (samples.size() > kMaxSamples) samples.pop_front();
 }
 
 bool BootTimeEstimator::RecordWait(const std::string& type, Seconds age) {
-  const auto boots = boots_.find(type);
-  if (boots == boots_.end()) return false;
-  const double disproved = age.value / (kMaxWaitRatio * NominalTime(type).value);
-  // Only boots quicker than nominal are disproved; slow ones show in the boots that did happen.
-  return disproved < 1 &&
-         std::erase_if(boots->second, [&](const Boot& boot) { return boot.ratio < disproved; }) > 0;
+  const auto samples = recent_boots_.find(type);
+  if (samples == recent_boots_.end()) return false;
+  const double min_ratio = age.value / (kMaxWaitRatio * NominalTime(type).value);
+  // Only samples below the nominal time are discarded. Slow boots are recorded when they complete.
+  return min_ratio < 1 &&
+         std::erase_if(
+             samples->second, [&](const BootSample& boot) { return boot.ratio < min_ratio; }) > 0;
 }
 
 double BootTimeEstimator::RatioAt(const std::string& type, double quantile, Instant now) const {
-  const auto boots = boots_.find(type);
-  if (boots == boots_.end()) return 1;
+  const auto samples = recent_boots_.find(type);
+  if (samples == recent_boots_.end()) return 1;
   std::vector<double> ratios;
-  for (const Boot& boot : boots->second)
-    if (now - boot.at < kMaxBootAge) ratios.push_back(boot.ratio);
-  if (ratios.size() < kMinBoots) return 1;
+  for (const BootSample& boot : samples->second)
+    if (now - boot.at < kMaxSampleAge) ratios.push_back(boot.ratio);
+  if (ratios.size() < kMinSamples) return 1;
   const auto position =
       ratios.begin() +
       static_cast<std::ptrdiff_t>(quantile * static_cast<double>(ratios.size() - 1) + 0.5);
@@ -59,7 +60,8 @@
 }
 
 Seconds BootTimeEstimator::LateAfter(const std::string& type, Instant now) const {
-  return std::max(kMinLateRatio, kLateRatio * RatioAt(type, kNearlyAll, now)) * NominalTime(type);
+  return std::max(kMinLateRatio, kLateRatio * RatioAt(type, kLateQuantile, now)) *
+         NominalTime(type);
 }
 
 Seconds BootTimeEstimator::GiveUpAfter(const std::string& type, Seconds min_billed, Seconds maximum,
--- a/src/provisioning/machine_fit.cc
+++ b/src/provisioning/machine_fit.cc
@@ -10,7 +10,7 @@
 }
 
 std::uint32_t TasksThatFit(const Resources& capacity, const Resources& per_task) {
-  constexpr double kMaxTasks = 1e6;  // of tasks that take nothing
+  constexpr double kMaxTasks = 1e6;  // for tasks that require no resources
   constexpr double kRoundingTolerance = 1e-6;
   double tasks = kMaxTasks;
   if (per_task.cpus > 0)
--- a/src/provisioning/machine_fit.h
+++ b/src/provisioning/machine_fit.h
@@ -9,10 +9,10 @@
 
 namespace magpie {
 
-// Whether the job's own list of machine types, if it has one, contains this one.
+// Whether the job allows this machine type. A job without a list of types allows all.
 bool AllowsType(const JobSpec& spec, const std::string& type);
 
-// How many tasks of this size fit on a machine with these resources.
+// The number of tasks of this size that fit on a machine with this capacity.
 std::uint32_t TasksThatFit(const Resources& capacity, const Resources& per_task);
 
 }  // namespace magpie
--- a/src/rate_limit/adaptive_rate_limiter.cc
+++ b/src/rate_limit/adaptive_rate_limiter.cc
@@ -4,9 +4,9 @@
 
 namespace magpie {
 namespace {
-constexpr Seconds kBurst{1};  // idle time that may be made up for at once
-constexpr double kMinBurst = 1;
-constexpr Seconds kInitialBurst{0.3};  // the process before this one may have used up the rate
+constexpr Seconds kBurstTime{1};  // bucket capacity, as time at the current rate
+constexpr double kMinBurstCalls = 1;
+constexpr Seconds kInitialBurstTime{0.3};  // an earlier process may have used up the rate
 constexpr double kDecreaseFactor = 0.5;
 constexpr double kRoundingTolerance = 1e-9;
 }  // namespace
@@ -14,21 +14,23 @@
 AdaptiveRateLimiter::AdaptiveRateLimiter(Options options)
     : options_(options),
       rate_(options.initial * options.maximum),
-      tokens_(std::max(kMinBurst, rate_ * kInitialBurst.value)) {}
+      tokens_(std::max(kMinBurstCalls, rate_ * kInitialBurstTime.value)) {}
 
-double AdaptiveRateLimiter::Capacity() const { return std::max(kMinBurst, rate_ * kBurst.value); }
+double AdaptiveRateLimiter::BucketCapacity() const {
+  return std::max(kMinBurstCalls, rate_ * kBurstTime.value);
+}
 
 void AdaptiveRateLimiter::Refill(Instant now) {
   if (!started_) last_refill_ = now;
   started_ = true;
   const Seconds elapsed{std::max(0.0, (now - last_refill_).value)};
   last_refill_ = now;
-  tokens_ = std::min(Capacity(), tokens_ + rate_ * elapsed.value);
+  tokens_ = std::min(BucketCapacity(), tokens_ + rate_ * elapsed.value);
   AdjustRate(elapsed);
   if (elapsed.value > 0) waited_since_refill_ = false;
 }
 
-// The rate grows while calls wait and returns to the initial one while none do.
+// The rate grows while calls wait, and otherwise moves back to the initial rate.
 void AdaptiveRateLimiter::AdjustRate(Seconds elapsed) {
   const double step = options_.growth * options_.maximum * std::min(elapsed.value, 1.0);
   const double initial = options_.initial * options_.maximum;
@@ -42,8 +44,8 @@
 
 Seconds AdaptiveRateLimiter::TryAcquire(double cost, Instant now) {
   Refill(now);
-  // More than the bucket holds goes when it is full, and leaves a debt.
-  const double needed = std::min(cost, Capacity());
+  // A cost above the capacity is granted when the bucket is full and makes tokens_ negative.
+  const double needed = std::min(cost, BucketCapacity());
   if (tokens_ + kRoundingTolerance >= needed) {
     tokens_ -= cost;
     return {};
--- a/src/rate_limit/adaptive_rate_limiter.h
+++ b/src/rate_limit/adaptive_rate_limiter.h
@@ -1,44 +1,45 @@
-// Paces calls to a service that several controllers share, none of which knows how many there
-// are: additive increase while calls wait, multiplicative decrease when the service refuses one.
+// Limits the rate of calls to a service shared by several controllers, none of which knows how many
+// share it: additive increase while calls wait, multiplicative decrease when a call is refused.
 #pragma once
 
 #include "model/time.h"
 
 namespace magpie {
 
-// A token bucket that holds a second's worth of calls and whose rate is learned from refusals.
-// The caller tells the time and sleeps. Not thread-safe.
+// A token bucket with a capacity of one second of calls, whose rate adapts to refusals. The caller
+// passes the time and sleeps. Not thread-safe.
 class AdaptiveRateLimiter {
  public:
   struct Options {
-    double maximum = 1;     // calls per second that the service takes from all callers together
-    double initial = 0.1;   // share of `maximum` to start with, and to return to when idle
-    double minimum = 0.01;  // share of `maximum` that is always tried
-    double growth = 0.12;   // share of `maximum` by which the rate grows per second of waiting
-    Seconds refusal_window{0.5};  // refusals this soon after a decrease cause no further one
+    double maximum = 1;           // calls per second that the service accepts from all callers
+    double initial = 0.1;         // initial and idle rate, as a fraction of `maximum`
+    double minimum = 0.01;        // lowest rate, as a fraction of `maximum`
+    double growth = 0.12;         // increase per second of waiting, as a fraction of `maximum`
+    Seconds refusal_window{0.5};  // after a decrease, during which refusals cause no further one
   };
 
   explicit AdaptiveRateLimiter(Options options);
 
-  // Takes `cost` calls off the bucket and returns 0 if they may go now. Otherwise takes nothing
-  // and returns how long to wait.
+  // Takes `cost` calls from the bucket and returns 0 if they may be sent now. Otherwise takes
+  // nothing and returns the time to wait before the next try.
   Seconds TryAcquire(double cost, Instant now);
-  // Takes `cost` calls whether they are there or not, for calls that don't wait: later ones do.
+  // Takes `cost` calls from the bucket unconditionally, for calls that are not delayed. Later calls
+  // wait longer instead.
   void AcquireNow(double cost, Instant now);
-  // How long it takes until `cost` calls could go at the present rate.
+  // The time until `cost` calls could be sent at the current rate.
   Seconds WaitTime(double cost, Instant now);
-  // To be called when the service has refused a call for its rate.
+  // To be called when the service has refused a call because of its rate limit.
   void OnRefused(Instant now);
   double rate() const { return rate_; }  // calls per second
 
  private:
-  double Capacity() const;
+  double BucketCapacity() const;
   void Refill(Instant now);
   void AdjustRate(Seconds elapsed);
 
   Options options_;
   double rate_;
-  double tokens_;  // negative: calls that went ahead of their time
+  double tokens_;  // negative after calls beyond the capacity or by AcquireNow()
   Instant last_refill_;
   bool started_ = false;
   bool waited_since_refill_ = false;
--- a/src/rate_limit/backoff.h
+++ b/src/rate_limit/backoff.h
@@ -1,4 +1,4 @@
-// Pauses between the attempts of one call.
+// Delays between the attempts of one call.
 #pragma once
 
 #include <algorithm>
@@ -8,28 +8,28 @@
 
 namespace magpie {
 
-// The calling thread's own random numbers for pauses, seeded once.
+// The calling thread's random number generator for backoff jitter, seeded once.
 std::minstd_rand& ThreadRandom();
 
-// Exponential backoff with decorrelated jitter: the pauses grow and differ from caller to caller,
-// so that callers refused together don't retry together. Not thread-safe.
+// Exponential backoff with decorrelated jitter: delays grow and differ between callers, so that
+// callers refused together do not retry together. Not thread-safe.
 class Backoff {
  public:
-  Backoff(Seconds first, Seconds maximum) : first_(first), max_(maximum), last_(first) {}
+  Backoff(Seconds initial, Seconds maximum) : initial_(initial), max_(maximum), last_(initial) {}
 
-  // The length of the next pause, at most `maximum`.
+  // The next delay, at most `maximum`.
   template <typename Random>
   Seconds Next(Random& random) {
-    std::uniform_real_distribution<double> spread(first_.value,
-                                                  std::max(first_.value, 3 * last_.value));
-    last_ = std::min(max_, Seconds{spread(random)});
+    std::uniform_real_distribution<double> jitter(initial_.value,
+                                                  std::max(initial_.value, 3 * last_.value));
+    last_ = std::min(max_, Seconds{jitter(random)});
     return last_;
   }
-  // To be called when an attempt has succeeded.
-  void Reset() { last_ = first_; }
+  // To be called after a successful attempt.
+  void Reset() { last_ = initial_; }
 
  private:
-  Seconds first_;
+  Seconds initial_;
   Seconds max_;
   Seconds last_;
 };
--- a/src/records/job_cache.cc
+++ b/src/records/job_cache.cc
@@ -30,7 +30,7 @@
   return RefreshLocked(lock);
 }
 
-// Waits for a read that began after the call; whether the latest one reached the store.
+// Waits for a read that began after the call. Returns whether the latest read reached the store.
 bool JobCache::RefreshLocked(std::unique_lock<std::mutex>& lock) {
   if (IsDisabled(SafetyCheck::kReadAfterRequest) && store_reachable_) return true;
   const std::uint64_t awaited_read = reads_started_ + 1;
@@ -40,10 +40,10 @@
       continue;
     }
     reading_ = true;
-    const Seconds early = next_read_ - hooks_.now();
-    if (early.value > 0) {
+    const Seconds delay = next_read_ - hooks_.now();
+    if (delay.value > 0) {
       lock.unlock();
-      hooks_.sleep(early);
+      hooks_.sleep(delay);
       lock.lock();
     }
     const std::uint64_t read = ++reads_started_;
@@ -66,15 +66,15 @@
 
 bool JobCache::RecordCancellation(const Cancellation& cancellation) {
   std::scoped_lock lock(mutex_);
-  // What a read of ours has, or had before the job was final, need not be kept.
+  // Reads have covered this revision: the copy has the cancellation, or the job is final by now.
   if (cancellation.revision <= revision_ || IsDisabled(SafetyCheck::kCancellationStored))
     return true;
   const std::string& job = cancellation.job.value;
   if (announced_cancellations_.size() >= kMaxAnnouncedCancellations &&
       !announced_cancellations_.contains(job))
     return false;
-  Revision& kept = announced_cancellations_[job];
-  kept = std::max(kept, cancellation.revision);
+  Revision& known_revision = announced_cancellations_[job];
+  known_revision = std::max(known_revision, cancellation.revision);
   return true;
 }
 
@@ -85,15 +85,15 @@
   return it != jobs_.end() && (it->second.stopping || it->second.cancelled);
 }
 
-// Only one thread is in here at a time; the copy itself changes under the mutex.
+// Called by one thread at a time. The copy is changed only under the mutex.
 bool JobCache::ReadStore() {
-  constexpr int kMaxTries = 2;  // the second after the copy was too old for a watch
+  constexpr int kMaxAttempts = 2;  // the second one reads all jobs, if the copy was too old
   Revision revision;
   {
     std::scoped_lock lock(mutex_);
     revision = revision_;
   }
-  for (int i = 0; i < kMaxTries; ++i) {
+  for (int i = 0; i < kMaxAttempts; ++i) {
     if (revision.value == 0) {
       auto snapshot = ReadAll();
       if (!snapshot) return false;
@@ -109,7 +109,7 @@
   return false;
 }
 
-// False if the copy was too old.
+// Returns false if the copy was too old.
 bool JobCache::ApplyWatch(const WatchResult& watch) {
   std::scoped_lock lock(mutex_);
   revision_ = watch.too_old ? Revision{} : watch.revision;
@@ -127,7 +127,7 @@
   for (bool more = true; more;) {
     const RangeResult range = store_.Range(records::kJobPrefix, after, kRangePageSize);
     if (range.status != StoreStatus::kOk) return std::nullopt;
-    // What changes while pages are read comes as an event of the watch.
+    // Changes made while the pages are read arrive as events of the watch.
     if (snapshot.revision.value == 0) snapshot.revision = range.revision;
     for (const StoreEntry& entry : range.entries) {
       Apply(snapshot.jobs, {entry.key, entry.value, entry.revision});
--- a/src/records/job_cache.h
+++ b/src/records/job_cache.h
@@ -1,4 +1,4 @@
-// A copy of which jobs are live, brought up to date before each use.
+// An in-memory copy of the live jobs, updated before each lookup.
 #pragma once
 
 #include <condition_variable>
@@ -16,9 +16,9 @@
 
 namespace magpie {
 
-// Many polls at once cost one small read of the key-value store. What a look-up returns was true
-// at some moment after the call: the copy is brought up to date by a watch that does not block and
-// that began after the call. Calls that come while a watch is on its way share the next one.
+// Concurrent lookups share one small read of the key-value store. The result of a lookup was
+// current at some moment after the call: the copy is updated by a non-blocking watch that began
+// after the call. Calls that arrive while a watch is in progress share the next one.
 //
 // Thread safe. The mutex is not held across I/O.
 class JobCache {
@@ -27,34 +27,34 @@
     std::function<Instant()> now;
     std::function<void(Seconds)> sleep;
   };
-  // At least `min_read_interval` lies between the beginnings of two reads.
+  // Two reads begin at least `min_read_interval` apart.
   JobCache(KeyValueStore& store, Seconds min_read_interval, Hooks hooks);
 
   struct LiveJob {
     Revision revision;
     bool stopping = false;
-    bool cancelled = false;  // and users may be told
+    bool cancelled = false;  // the cancellation may be acknowledged to users
   };
   struct Lookup {
-    bool store_reachable = false;  // false: `live` may be out of date
-    std::optional<LiveJob> live;   // none: no such live job
+    bool store_reachable = false;  // if false, `live` may be out of date
+    std::optional<LiveJob> live;   // nullopt: no such live job
   };
-  // Blocks until the copy was brought up to date, or that failed.
+  // Blocks until the copy is updated or the update has failed.
   Lookup Find(const JobId& id);
-  // The same for all jobs; false: the store was not reached.
+  // Updates the copy without a lookup. Returns false if the store was not reached.
   bool Refresh();
 
   // --- Cancellations (cancellation/cancellation_registry.h). These do no I/O.
   struct Cancellation {
     JobId job;
-    Revision revision;  // of the record that has it, or a later one
+    Revision revision;  // of the job record with the cancellation, or a later one
   };
-  // Whether this run has read all jobs once, however long ago.
+  // Whether this process has read all jobs at least once.
   bool Loaded();
-  // Keeps a cancellation that was not read here but announced by a peer, until a read has it.
-  // False when too many are kept already.
+  // Keeps an announced cancellation until a read of the store includes it. Returns false if too
+  // many are kept.
   bool RecordCancellation(const Cancellation& cancellation);
-  // Whether a user has cancelled the job, as far as is known, acknowledged or not.
+  // Whether the job is known to be cancelled, whether or not this was acknowledged to the user.
   bool IsCancelled(const JobId& id);
 
  private:
@@ -73,17 +73,17 @@
   const Seconds min_read_interval_;
   const Hooks hooks_;
 
-  std::mutex mutex_;  // guards all below
+  std::mutex mutex_;  // guards the members below
   std::condition_variable read_ended_;
-  bool reading_ = false;             // one thread at a time reads, for all that wait
-  std::uint64_t reads_started_ = 0;  // each read has the number of its start
+  bool reading_ = false;             // one thread reads on behalf of all waiting callers
+  std::uint64_t reads_started_ = 0;  // reads are numbered in the order of their start
   std::uint64_t last_ended_read_ = 0;
-  bool store_reachable_ = false;  // by the read that ended last
-  Instant next_read_;             // not before
-  Revision revision_;             // of the copy; 0: it must be read anew
+  bool store_reachable_ = false;  // by the latest completed read
+  Instant next_read_;             // earliest start of the next read
+  Revision revision_;             // of the copy; 0: all jobs must be read again
   LiveJobs jobs_;
   bool loaded_ = false;
-  std::unordered_map<std::string, Revision> announced_cancellations_;  // that no read has yet
+  std::unordered_map<std::string, Revision> announced_cancellations_;  // not yet read
 };
 
 }  // namespace magpie
--- a/src/records/records.cc
+++ b/src/records/records.cc
@@ -46,7 +46,7 @@
           value.value(kCancelledField, false)};
 }
 
-// One task: [index, attempt, done] or [index, attempt, done, machine, zone].
+// A task is encoded as [index, attempt, done] or [index, attempt, done, machine, zone].
 Json ToJson(const std::vector<RecordPageEntry>& records) {
   Json jobs = Json::object();
   for (const auto& [job, task] : records) {
@@ -61,12 +61,12 @@
 }
 
 static TaskRecord TaskRecordFromJson(const Json& fields) {
-  constexpr std::size_t kFieldsOfBound = 5;
+  constexpr std::size_t kFieldsOfBoundTask = 5;
   TaskRecord task;
   task.index = fields.at(0).get<std::uint32_t>();
   task.attempt = {fields.at(1).get<std::uint64_t>()};
   task.done = fields.at(2).get<int>() != 0;
-  if (fields.size() >= kFieldsOfBound) {
+  if (fields.size() >= kFieldsOfBoundTask) {
     task.machine = {fields.at(3).get<std::string>()};
     task.zone = fields.at(4).get<std::string>();
   }
--- a/src/records/records.h
+++ b/src/records/records.h
@@ -1,10 +1,10 @@
-// The records in the state service: their keys, their JSON and the transactions that write them.
-//   c/leader        the leader's label; deleted with its lease
-//   c/epoch         the present leadership; the fencing token is made of its revision
-//   c/m/<label>     a live controller; deleted with its lease
+// The records in the key-value store: their keys, their JSON and the transactions that write them.
+//   c/leader        the leader's label; deleted with the leader's lease
+//   c/epoch         the current leadership; the fencing token is made from its revision
+//   c/m/<label>     a live controller; deleted with the controller's lease
 //   j/<job>         an accepted job that is not final
 //   p/<n>           bindings and results of tasks, in pages shared by all jobs
-//   t/<job>/<n>     the same in blocks of one job, as earlier versions wrote them
+//   t/<job>/<n>     bindings and results of one job's tasks, in blocks written by earlier versions
 //   f/<job>         a final job, kept forever
 #pragma once
 
@@ -20,7 +20,7 @@
 
 namespace magpie::records {
 
-// Keys and prefixes of keys.
+// Keys and key prefixes.
 inline constexpr char kControlPrefix[] = "c/";
 inline constexpr char kLeaderKey[] = "c/leader";
 inline constexpr char kEpochKey[] = "c/epoch";
@@ -28,58 +28,58 @@
 inline constexpr char kPagePrefix[] = "p/";
 inline constexpr char kBlockPrefix[] = "t/";
 
-// Keys of records, and back; nullopt: not the key of a page or block.
+// Conversions between records and their keys; nullopt: not the key of a page or block.
 std::string MemberKey(const std::string& label);
 std::string JobKey(const JobId& id);
 std::string FinalKey(const JobId& id);
 std::string ToKey(const RecordPageKey& key);
 std::optional<RecordPageKey> ParseRecordPageKey(const std::string& key);
 
-// An accepted job. Its cancellation has two steps: first its tasks stop for good (`stopping`);
-// it is acknowledged to users once every controller knows of it (`cancelled`), or when the job is
-// final. See cancellation/cancellation_broadcaster.h.
+// An accepted job. A cancellation has two steps: first the job's tasks must stop (`stopping`). It
+// is acknowledged to users once every controller knows it (`cancelled`), or when the job is final.
+// See cancellation/cancellation_broadcaster.h.
 struct JobRecord {
   JobSpec spec;
   bool stopping = false;
   bool cancelled = false;
-  // Whether its tasks must no longer run.
+  // Whether the job's tasks must no longer run.
   bool must_stop() const { return stopping || cancelled; }
 };
 // Fields of a job record.
 inline constexpr char kStoppingField[] = "stopping";
 inline constexpr char kCancelledField[] = "cancelled";
 Json ToJson(const JobRecord& record);
-// Raises protocol::InvalidMessage or Json::exception.
+// Throws protocol::InvalidMessage or Json::exception.
 JobRecord JobFromJson(const Json& value);
 
 Json ToJson(const std::vector<RecordPageEntry>& records);
-// The contents of a page or block. Raises Json::exception.
+// Decodes a page or block. Throws Json::exception.
 std::vector<RecordPageEntry> RecordPageFromJson(const RecordPageKey& key, const Json& value);
 
-// A job that is over.
+// The outcome of a final job.
 struct FinalRecord {
   JobOutcome state = JobOutcome::kDone;
   std::uint32_t tasks = 0;
 };
 Json ToJson(const FinalRecord& record);
-// Raises Json::exception.
+// Throws Json::exception.
 FinalRecord FinalFromJson(const Json& value);
 
-// What entitles a controller to command workers and to write: the revisions of the two keys that
-// it won. It is deposed when either changes.
+// Entitles a controller to command workers and to write: the revisions of the two keys that it won.
+// The controller is deposed when either key changes.
 struct Leadership {
   Revision leader;  // of c/leader
-  Revision epoch;   // of c/epoch; the fencing token is made of it
+  Revision epoch;   // of c/epoch; the fencing token is made from it
   auto operator<=>(const Leadership&) const = default;
 };
 
-// They hold as long as the leadership does.
+// Conditions that hold as long as the leadership lasts.
 std::vector<Condition> ConditionsOf(const Leadership& leadership);
-// Whether one of these conditions is among those that failed. Then the leadership is lost for
-// good, as revisions only grow.
+// Whether the failed keys include one of these conditions. The leadership is then lost permanently,
+// because revisions only grow.
 bool ProvesDeposition(const std::vector<std::string>& failed);
 
-// The transaction that writes a batch under the given leadership.
+// The transaction that writes a batch under the condition of the given leadership.
 Transaction ToTransaction(const WriteBatch& batch, const Leadership& leadership);
 
 }  // namespace magpie::records
--- a/src/records/write_batch_committer.cc
+++ b/src/records/write_batch_committer.cc
@@ -7,20 +7,20 @@
 
 namespace magpie {
 namespace {
-constexpr Seconds kFirstPause{0.1};
-constexpr Seconds kMaxPause{1};
+constexpr Seconds kInitialBackoff{0.1};
+constexpr Seconds kMaxBackoff{1};
 }  // namespace
 
 WriteBatchCommitter::WriteBatchCommitter(KeyValueStore& store, Hooks hooks)
-    : store_(store), hooks_(std::move(hooks)), backoff_(kFirstPause, kMaxPause) {}
+    : store_(store), hooks_(std::move(hooks)), backoff_(kInitialBackoff, kMaxBackoff) {}
 
-void WriteBatchCommitter::Wait() { hooks_.pause(backoff_.Next(ThreadRandom())); }
+void WriteBatchCommitter::WaitBeforeRetry() { hooks_.pause(backoff_.Next(ThreadRandom())); }
 
 WriteOutcome WriteBatchCommitter::Write(const WriteBatch& batch,
                                         const records::Leadership& leadership) {
   const Transaction transaction = records::ToTransaction(batch, leadership);
   WriteOutcome outcome;
-  bool uncertain = false;
+  bool has_unanswered_attempt = false;
   while (hooks_.still_leading()) {
     const TransactionResult result = store_.Commit(transaction);
     switch (result.status) {
@@ -29,43 +29,44 @@
         outcome.revision = result.revision;
         return outcome;
       case StoreStatus::kConflict:
-        return AfterConflict(batch, leadership, result.failed, uncertain);
+        return AfterConflict(batch, leadership, result.failed, has_unanswered_attempt);
       case StoreStatus::kInvalid:
-        spdlog::error("the state service calls a transaction malformed");
-        hooks_.pause(kMaxPause);
+        spdlog::error("key-value store rejected transaction as malformed; retrying");
+        hooks_.pause(kMaxBackoff);
         break;
       case StoreStatus::kUnknown:
-        uncertain = true;
-        // Reading back costs no write operation, which another attempt would.
-        if (auto known = OutcomeOf(ResolveEarlier(batch, leadership, false)))
-          return *std::move(known);
-        Wait();  // not carried out so far
+        has_unanswered_attempt = true;
+        // Reading back uses no write operation, unlike another attempt.
+        if (auto resolved = OutcomeOf(ResolveUnansweredAttempts(batch, leadership, false)))
+          return *std::move(resolved);
+        WaitBeforeRetry();  // not carried out when it was read back
         break;
       case StoreStatus::kRefused:
-        Wait();
+        WaitBeforeRetry();
         break;
     }
   }
   return outcome;
 }
 
-// A conflict shows the outcome of this attempt alone. Whether an earlier one without an answer was
-// carried out is read back, which may take as long as an outage or a network partition. So the
-// leadership is checked again after that: by the earlier conflict alone, a former leader would
-// take its successor's pages for proof that nothing of its own had been written.
+// A conflict shows the outcome of this attempt only. Whether an earlier unanswered attempt was
+// carried out is read back, which may take as long as an outage or a partition lasts. The
+// leadership is therefore checked again after the read: otherwise a former leader would take pages
+// written by its successor as proof that its own write had not been carried out.
 WriteOutcome WriteBatchCommitter::AfterConflict(const WriteBatch& batch,
                                                 const records::Leadership& leadership,
                                                 const std::vector<std::string>& failed,
-                                                bool uncertain) {
+                                                bool has_unanswered_attempt) {
   using Status = WriteOutcome::Status;
   WriteOutcome outcome;
   outcome.deposed = records::ProvesDeposition(failed);
   if (outcome.deposed) {
-    outcome.status = uncertain ? Status::kUnknown : Status::kRejected;
+    outcome.status = has_unanswered_attempt ? Status::kUnknown : Status::kRejected;
     return outcome;
   }
-  if (uncertain)
-    if (auto known = OutcomeOf(ResolveEarlier(batch, leadership, true))) return *std::move(known);
+  if (has_unanswered_attempt)
+    if (auto resolved = OutcomeOf(ResolveUnansweredAttempts(batch, leadership, true)))
+      return *std::move(resolved);
   for (const std::string& key : failed)
     outcome.stale |= records::ParseRecordPageKey(key).has_value();
   outcome.reloaded = ReloadJobs(batch);
@@ -73,89 +74,90 @@
   return outcome;
 }
 
-// nullopt: nothing of the batch had been carried out when it was read back.
-std::optional<WriteOutcome> WriteBatchCommitter::OutcomeOf(const EarlierAttempts& earlier) {
+// nullopt: the batch had not been carried out when it was read back.
+std::optional<WriteOutcome> WriteBatchCommitter::OutcomeOf(const UnansweredAttempts& unanswered) {
   WriteOutcome outcome;
-  switch (earlier.status) {
-    case EarlierAttempts::Status::kCarriedOut:
+  switch (unanswered.status) {
+    case UnansweredAttempts::Status::kCarriedOut:
       outcome.status = WriteOutcome::Status::kWritten;
-      outcome.revision = earlier.revision;
+      outcome.revision = unanswered.revision;
       return outcome;
-    case EarlierAttempts::Status::kDeposed:
+    case UnansweredAttempts::Status::kDeposed:
       outcome.status = WriteOutcome::Status::kUnknown;
       outcome.deposed = true;
       return outcome;
-    case EarlierAttempts::Status::kGivenUp:
+    case UnansweredAttempts::Status::kGivenUp:
       return outcome;
-    case EarlierAttempts::Status::kNotCarriedOut:
+    case UnansweredAttempts::Status::kNotCarriedOut:
       break;
   }
   return std::nullopt;
 }
 
-// Whether what the batch changes is present. A page at a later revision than the leader knows of
-// proves the whole transaction, since the leader alone writes pages, one transaction at a time. A
-// final record does not: an old event may bring back a job that an earlier write made final, and
-// that record would pass for proof that the bindings of this transaction are durable. So without a
-// page each final record must be present.
+// Checks whether the batch's changes are present. A page at a later revision than the leader knows
+// proves the whole transaction, since only the leader writes pages, one transaction at a time. One
+// final record proves nothing: a delayed event may restore a job in memory that an earlier write
+// made final, and its record would be taken as proof that this transaction's bindings are durable.
+// So a batch without a page requires each of its final records to be present.
 WriteBatchCommitter::ReadBackResult WriteBatchCommitter::ReadChangedKeys(const WriteBatch& batch) {
-  ReadBackResult found;
+  ReadBackResult read_back;
   const auto read_key = [&](const std::string& key, const std::optional<Json>& expected,
                             Revision before) {
     const GetResult result = store_.Get(key);
-    found.answered = result.status == StoreStatus::kOk;
+    read_back.answered = result.status == StoreStatus::kOk;
     const Revision revision = result.entry ? result.entry->revision : Revision{};
-    found.present =
-        found.answered &&
+    read_back.present =
+        read_back.answered &&
         (expected ? result.entry && result.entry->value == *expected && revision > before
                   : !result.entry.has_value());
-    found.key = {key, revision};
-    return found.present;
+    read_back.key = {key, revision};
+    return read_back.present;
   };
   if (!batch.puts.empty()) {
     const WriteBatch::Put& put = batch.puts.front();
     read_key(records::ToKey(put.key), records::ToJson(put.records), put.expected);
-    return found;
+    return read_back;
   }
   if (!batch.finals.empty()) {
     for (const WriteBatch::Final& final : batch.finals) {
       const Json record = records::ToJson(records::FinalRecord{final.state, final.tasks});
       if (!read_key(records::FinalKey(final.job), record, Revision{})) break;
     }
-    return found;
+    return read_back;
   }
   if (!batch.drops.empty())
     read_key(records::ToKey(batch.drops.front().key), std::nullopt, Revision{});
-  return found;
+  return read_back;
 }
 
-// Contents equal to ours are ours, and others prove that nothing of the batch was written, both
-// only if we still led when they were read: the next leader may write the very same final record
-// of a job, which would pass for proof that the bindings of our transaction are durable.
-WriteBatchCommitter::EarlierAttempts WriteBatchCommitter::ResolveEarlier(
+// Matching contents prove that the batch was written, and other contents that it was not, but only
+// if this controller still led when they were read. Otherwise the next leader may have written an
+// identical final record, which would be taken as proof that this batch's bindings are durable.
+WriteBatchCommitter::UnansweredAttempts WriteBatchCommitter::ResolveUnansweredAttempts(
     const WriteBatch& batch, const records::Leadership& leadership, bool conflicted) {
-  using Status = EarlierAttempts::Status;
+  using Status = UnansweredAttempts::Status;
   if (batch.empty()) return {Status::kNotCarriedOut, {}};
   while (hooks_.still_leading()) {
-    const ReadBackResult found = ReadChangedKeys(batch);
-    if (!found.answered) {
-      Wait();
+    const ReadBackResult read_back = ReadChangedKeys(batch);
+    if (!read_back.answered) {
+      WaitBeforeRetry();
       continue;
     }
-    // The next attempt has the leadership among its conditions: no need to check it here too.
-    if (!found.present && !conflicted) return {Status::kNotCarriedOut, {}};
+    // The next attempt is conditional on the leadership, so it is not checked here.
+    if (!read_back.present && !conflicted) return {Status::kNotCarriedOut, {}};
     Transaction leadership_check{records::ConditionsOf(leadership), {}};
-    leadership_check.conditions.push_back(found.key);
-    const TransactionResult compared = store_.Commit(leadership_check);
-    const bool deposed =
-        compared.status == StoreStatus::kConflict && records::ProvesDeposition(compared.failed);
+    leadership_check.conditions.push_back(read_back.key);
+    const TransactionResult check_result = store_.Commit(leadership_check);
+    const bool deposed = check_result.status == StoreStatus::kConflict &&
+                         records::ProvesDeposition(check_result.failed);
     if (deposed && !IsDisabled(SafetyCheck::kCommittedByThisLeader)) return {Status::kDeposed, {}};
-    if (compared.status != StoreStatus::kOk && !IsDisabled(SafetyCheck::kCommittedByThisLeader)) {
-      Wait();
+    if (check_result.status != StoreStatus::kOk &&
+        !IsDisabled(SafetyCheck::kCommittedByThisLeader)) {
+      WaitBeforeRetry();
       continue;
     }
-    return found.present ? EarlierAttempts{Status::kCarriedOut, found.key.revision}
-                         : EarlierAttempts{Status::kNotCarriedOut, {}};
+    return read_back.present ? UnansweredAttempts{Status::kCarriedOut, read_back.key.revision}
+                             : UnansweredAttempts{Status::kNotCarriedOut, {}};
   }
   return {Status::kGivenUp, {}};
 }
@@ -168,9 +170,9 @@
     try {
       jobs.push_back({records::JobFromJson(result.entry->value), result.entry->revision});
     } catch (const protocol::InvalidMessage& error) {
-      spdlog::error("record of {}: {}", job.value, error.what());
+      spdlog::error("job record malformed job={} error={}", job.value, error.what());
     } catch (const Json::exception& error) {
-      spdlog::error("record of {}: {}", job.value, error.what());
+      spdlog::error("job record malformed job={} error={}", job.value, error.what());
     }
   }
   return jobs;
--- a/src/records/write_batch_committer.h
+++ b/src/records/write_batch_committer.h
@@ -1,5 +1,5 @@
-// Commits the leader's changes by compare-and-swap, and finds out whether they were carried out
-// when the state service's answers get lost.
+// Commits the leader's write batches by compare-and-swap, and determines the outcome of unanswered
+// transactions.
 #pragma once
 
 #include <functional>
@@ -14,66 +14,66 @@
 
 namespace magpie {
 
-// How a write ended.
+// The outcome of a write.
 struct WriteOutcome {
   enum class Status {
     kWritten,   // at `revision`
-    kRejected,  // nothing was written, and no attempt can write it any more
-    kUnknown,   // deposed while an attempt had no answer: it may have been written before that
-    kGivenUp,   // no longer leading, by our own view
+    kRejected,  // nothing was written, and no attempt can be carried out later
+    kUnknown,   // deposed with an unanswered attempt, which may have been carried out before
+    kGivenUp,   // abandoned because this controller no longer leads by its own view
   };
   Status status = Status::kGivenUp;
   Revision revision;
-  // The leader's key or the epoch has changed, for good: the leader's state in memory may be older
-  // than the records, so it must no longer command workers.
+  // The leader key or the epoch has changed, which is permanent. The state in memory may be older
+  // than the records, so this controller must no longer command workers.
   bool deposed = false;
-  // A page differs from the leader's state in memory, though the leader alone writes pages. Every
-  // write would be refused, so the leader must read all records again.
+  // A page differs from the leader's state in memory, although only the leader writes pages. All
+  // further writes would be rejected, so the leader must read all records again.
   bool stale = false;
-  // A job's record as it is now.
+  // A job's current record.
   struct Job {
     records::JobRecord record;
     Revision revision;
   };
-  std::vector<Job> reloaded;  // after a rejection: the jobs of the batch
+  std::vector<Job> reloaded;  // after a rejection: the batch's jobs
 };
 
 // Not thread-safe.
 class WriteBatchCommitter {
  public:
   struct Hooks {
-    std::function<bool()> still_leading;  // by our own view
+    std::function<bool()> still_leading;  // by this controller's view
     std::function<void(Seconds)> pause;   // sleeps
   };
   WriteBatchCommitter(KeyValueStore& store, Hooks hooks);
 
-  // Repeats the same transaction until it is certain whether it was carried out, or that we no
-  // longer lead. All attempts have the same conditions, so at most one is ever carried out, and
-  // after a conflict none can be.
+  // Repeats the same transaction until its outcome is certain or this controller no longer leads.
+  // All attempts have the same conditions: at most one is carried out, and none after a conflict.
   WriteOutcome Write(const WriteBatch& batch, const records::Leadership& leadership);
 
  private:
-  // What has become of the attempts without an answer. After a conflict kNotCarriedOut is final;
-  // before one, an attempt may still be carried out.
-  struct EarlierAttempts {
+  // The outcome of the unanswered attempts. kNotCarriedOut is final only after a conflict; without
+  // one, an attempt may be carried out later.
+  struct UnansweredAttempts {
     enum class Status { kCarriedOut, kNotCarriedOut, kDeposed, kGivenUp };
     Status status = Status::kGivenUp;
     Revision revision;  // if carried out
   };
-  // What reading keys that a batch changes has shown.
+  // The result of reading keys that a batch changes.
   struct ReadBackResult {
-    bool answered = false;  // by the state service
-    bool present = false;   // what the batch writes
-    Condition key;          // the last one read, as it is
+    bool answered = false;  // by the key-value store
+    bool present = false;   // whether the keys have the contents that the batch writes
+    Condition key;          // the last key read, at its current revision
   };
-  void Wait();
+  void WaitBeforeRetry();
   ReadBackResult ReadChangedKeys(const WriteBatch& batch);
   WriteOutcome AfterConflict(const WriteBatch& batch, const records::Leadership& leadership,
-                             const std::vector<std::string>& failed, bool uncertain);
-  static std::optional<WriteOutcome> OutcomeOf(const EarlierAttempts& earlier);
-  // `conflicted`: no attempt can be carried out any more.
-  EarlierAttempts ResolveEarlier(const WriteBatch& batch, const records::Leadership& leadership,
-                                 bool conflicted);
+                             const std::vector<std::string>& failed, bool has_unanswered_attempt);
+  static std::optional<WriteOutcome> OutcomeOf(const UnansweredAttempts& unanswered);
+  // `conflicted`: a conflict has shown that no attempt can be carried out later.
+  UnansweredAttempts ResolveUnansweredAttempts(const WriteBatch& batch,
+                                               const records::Leadership& leadership,
+                                               bool conflicted);
   std::vector<WriteOutcome::Job> ReloadJobs(const WriteBatch& batch);
 
   KeyValueStore& store_;
--- a/tests/boot_time_test.cc
+++ b/tests/boot_time_test.cc
@@ -1,4 +1,4 @@
-// Machines that come up late, never, or within a second.
+// Machines that boot late, never, or within a second.
 #include "provisioning/boot_time_estimator.h"
 #include "test_cluster.h"
 
@@ -11,49 +11,51 @@
 class BootTimeEstimatorTest : public ::testing::Test {
  protected:
   BootTimeEstimatorTest() { estimator.SetNominalTime(kType, kBoot); }
-  void Come(double took, int times = 5) {
-    for (int i = 0; i < times; ++i) estimator.RecordBoot(kType, {took}, now);
+  void RecordBoots(double boot_time, int times = 5) {
+    for (int i = 0; i < times; ++i) estimator.RecordBoot(kType, {boot_time}, now);
   }
   BootTimeEstimator estimator;
   Instant now{100};
 };
 
-TEST_F(BootTimeEstimatorTest, NeedsSeveralBootsAndForgetsOldOnes) {
-  Come(1, 2);
+TEST_F(BootTimeEstimatorTest, IgnoresFewOrOldBoots) {
+  RecordBoots(1, 2);
   EXPECT_EQ(estimator.ExpectedTime(kType, now), kBoot);
-  Come(1);
+  RecordBoots(1);
   EXPECT_EQ(estimator.ExpectedTime(kType, now), Seconds{1});
-  EXPECT_EQ(estimator.LateAfter(kType, now), 2.5 * kBoot) << "one that is not as quick is not late";
+  EXPECT_EQ(estimator.LateAfter(kType, now), 2.5 * kBoot)
+      << "a boot at the nominal time is not late after fast boots";
   EXPECT_EQ(estimator.ExpectedTime(kType, now + Seconds{200}), kBoot);
   EXPECT_EQ(estimator.ExpectedTime("unheard of", now), Seconds{60});
 }
 
-TEST_F(BootTimeEstimatorTest, PendingBootRaisesTheEstimate) {
-  Come(1);
+TEST_F(BootTimeEstimatorTest, LongPendingBootRaisesEstimate) {
+  RecordBoots(1);
   EXPECT_FALSE(estimator.RecordWait(kType, {1.5}));
   EXPECT_TRUE(estimator.RecordWait(kType, {3}));
   EXPECT_EQ(estimator.ExpectedTime(kType, now), kBoot);
 }
 
-TEST_F(BootTimeEstimatorTest, WaitsForSlowBootsAndGivesUpOnLostOnes) {
+TEST_F(BootTimeEstimatorTest, AdaptsGiveUpTimeToSlowBoots) {
   const Seconds maximum{125};
-  const Seconds usual = estimator.GiveUpAfter(kType, {60}, maximum, now);
-  EXPECT_EQ(usual, Seconds{75});
-  Come(70);
+  const Seconds give_up_after = estimator.GiveUpAfter(kType, {60}, maximum, now);
+  EXPECT_EQ(give_up_after, Seconds{75});
+  RecordBoots(70);
   EXPECT_EQ(estimator.ExpectedTime(kType, now), Seconds{70});
   EXPECT_GT(estimator.LateAfter(kType, now), Seconds{100});
   EXPECT_GE(estimator.GiveUpAfter(kType, {60}, maximum, now), estimator.LateAfter(kType, now));
   EXPECT_EQ(estimator.GiveUpAfter(kType, {600}, maximum, now), Seconds{600})
-      << "it is paid for anyway";
+      << "min_billed is charged in any case";
 }
 
-// In the world: the machine that never comes is counted no longer, its work is planned
-// elsewhere, and it is returned without a storm of orders.
+// With a scheduler: a machine that never boots no longer counts as capacity, its work is planned
+// elsewhere, and it is released without a burst of provisioning requests.
 class MachineBootTest : public ClusterTest {
  protected:
-  // Orders are filled with machines that come up after a while, or never.
-  int Orders(TestController& node) {
-    int orders = 0;
+  // Answers all pending cloud calls and returns the number of provisioning requests. The machines
+  // boot later or never.
+  int HandleCloudCalls(TestController& node) {
+    int requests = 0;
     while (auto call = node.core.NextCloudCall(now)) {
       if (call->kind == CloudCall::Kind::kList) node.core.OnList({}, now);
       if (call->kind == CloudCall::Kind::kRelease) {
@@ -63,55 +65,55 @@
       if (call->kind != CloudCall::Kind::kProvision) continue;
       std::vector<MachineId> names;
       for (std::uint32_t i = 0; i < call->scale_out.count; ++i)
-        names.push_back({"vm-" + std::to_string(++rented)});
+        names.push_back({"vm-" + std::to_string(++provisioned)});
       node.core.OnProvisioned(*call, names, now);
-      ++orders;
+      ++requests;
     }
-    return orders;
+    return requests;
   }
   std::size_t released = 0;
-  int rented = 0;
+  int provisioned = 0;
 };
 
-TEST_F(MachineBootTest, MachineThatNeverBootsIsReplacedAndReleased) {
+TEST_F(MachineBootTest, NeverBootingMachineIsReplacedAndReleased) {
   TestController& node = AddController("n0");
   ASSERT_TRUE(node.TakeOver(now));
   Run(node, MakeJob("j-1"));
-  int orders = 0;
+  int requests = 0;
   for (int i = 0; i < 240; ++i) {
     Settle(node, 1);
-    orders += Orders(node);
+    requests += HandleCloudCalls(node);
     if (i == 80) {
-      EXPECT_EQ(released, 0U) << "not before it is late by far";
+      EXPECT_EQ(released, 0U) << "released before it was much too late";
     }
     AdvanceTime(0.5);
   }
-  EXPECT_GE(rented, 2);
-  EXPECT_LE(rented, 4) << "no storm of orders";
+  EXPECT_GE(provisioned, 2);
+  EXPECT_LE(provisioned, 4) << "too many replacements provisioned";
   EXPECT_GE(released, 1U);
-  EXPECT_EQ(orders, rented);
+  EXPECT_EQ(requests, provisioned);
 }
 
-TEST_F(MachineBootTest, QuickBootsAreRentedForUrgentWork) {
+TEST_F(MachineBootTest, UrgentWorkProvisionsMachineAfterFastBoots) {
   TestController& node = AddController("n0");
   ASSERT_TRUE(node.TakeOver(now));
   for (int i = 0; i < 8; ++i) {
     if (i < 4) Run(node, MakeJob("j-" + std::to_string(i), 2));
     Settle(node, 1);
-    Orders(node);
+    HandleCloudCalls(node);
     AdvanceTime(1);
-    while (workers_.size() < static_cast<std::size_t>(rented))
+    while (workers_.size() < static_cast<std::size_t>(provisioned))
       AddWorker("vm-" + std::to_string(workers_.size() + 1), "small");
     Settle(node);
   }
   ASSERT_EQ(CountLiveTasks(), 8U);
-  JobSpec bindings_unpersisted = MakeJob("j-9", 2);
-  bindings_unpersisted.deadline = Seconds{38};  // 30 to run: no usual boot and fetch could meet it
-  const int before = rented;
-  Run(node, bindings_unpersisted);
+  JobSpec urgent = MakeJob("j-9", 2);
+  urgent.deadline = Seconds{38};  // 30 s to run; a nominal boot and image fetch would miss it
+  const int provisioned_before = provisioned;
+  Run(node, urgent);
   Settle(node, 1);
-  Orders(node);
-  EXPECT_GT(rented, before);
+  HandleCloudCalls(node);
+  EXPECT_GT(provisioned, provisioned_before);
 }
 
 }  // namespace
--- a/tests/cancellation_test.cc
+++ b/tests/cancellation_test.cc
@@ -1,5 +1,5 @@
-// Cancellations that the acting leader can't hear of from the state service: the tasks are
-// gone in time all the same, and no lease is given up for it.
+// Cancellations that the leader cannot read from the key-value store: the tasks still stop in time,
+// and no worker loses its lease.
 #include <gtest/gtest.h>
 
 #include "cancellation/cancellation_registry.h"
@@ -10,7 +10,7 @@
 
 class CancellationTest : public ::testing::Test {
  protected:
-  // Some jobs run everywhere, and all know the leader.
+  // Starts four jobs and waits until there is a leader and tasks run.
   void Begin() {
     cluster.AdvanceSeconds(3);
     for (const char* job : {"j-1", "j-2", "j-3", "j-4"}) ASSERT_TRUE(cluster.Submit(job, 3, "n1"));
@@ -18,25 +18,25 @@
     leader = cluster.Leader();
     ASSERT_FALSE(leader.empty());
     for (const std::string& label : cluster.labels)
-      if (label != leader) others.push_back(label);
+      if (label != leader) peers.push_back(label);
     ASSERT_EQ(cluster.LiveTasks("j-1"), 3U);
     ASSERT_EQ(cluster.LiveTasks("j-2"), 3U);
   }
-  // Refused alone; cancelled through another; then down for all.
+  // The store refuses the leader, a peer accepts a cancellation, then the store is down for all.
   void RefuseLeaderThenStartOutage() {
     cluster.controllers.at(leader)->store.refused = true;
     cluster.AdvanceSeconds(2);
-    state = cluster.Cancel("j-1", others[0]);
+    state = cluster.Cancel("j-1", peers[0]);
     cluster.store.outage = true;
   }
-  void Cut(const std::string& a, const std::string& b) { cluster.partitions.insert({a, b}); }
-  void CutOff(const std::string& label) {
+  void Partition(const std::string& a, const std::string& b) { cluster.partitions.insert({a, b}); }
+  void PartitionFromAll(const std::string& label) {
     for (const std::string& other : cluster.labels) {
-      Cut(label, other);
-      Cut(other, label);
+      Partition(label, other);
+      Partition(other, label);
     }
   }
-  void ExpectNoViolationAfterTheDeadline() {
+  void ExpectNoViolationAfterDeadline() {
     cluster.AdvanceSeconds(static_cast<int>(kTestCancelDeadline.value) + 20);
     EXPECT_EQ(cluster.violations, std::set<std::string>{});
   }
@@ -54,123 +54,127 @@
 
   SimulatedCluster cluster;
   std::string leader;
-  std::vector<std::string> others;
-  std::string state;  // what the user who cancelled was told
+  std::vector<std::string> peers;
+  std::string state;  // state in the response to the user's cancellation
 };
 
-// The leader hears of it before the user does, and stops the tasks at once.
-TEST_F(CancellationTest, LeaderStopsWhatAPeerCancelledDuringAnOutage) {
+// The peer announces the cancellation to the leader before it answers the user.
+TEST_F(CancellationTest, LeaderStopsTasksCancelledByPeerDuringOutage) {
   Begin();
   RefuseLeaderThenStartOutage();
   EXPECT_EQ(state, "withdrawn");
   cluster.AdvanceSeconds(4);
-  EXPECT_EQ(cluster.LiveTasks("j-1"), 0U) << "at once, not by the lease";
-  ExpectNoViolationAfterTheDeadline();
+  EXPECT_EQ(cluster.LiveTasks("j-1"), 0U) << "not stopped by the announcement";
+  ExpectNoViolationAfterDeadline();
   EXPECT_EQ(cluster.LiveTasks("j-2"), 3U);
   EXPECT_EQ(cluster.LeasesLost(), 0);
   RestoreAndExpectCancelled();
   EXPECT_EQ(cluster.LeasesLost(), 0);
 }
 
-// Nobody is told while the leader can't be: it goes on, and loses no lease for it.
-TEST_F(CancellationTest, NotAcknowledgedWhileALeaderIsPartitionedFromItsPeers) {
+// The user gets no acknowledgement while the leader is unreachable. The leader keeps running the
+// tasks, and no lease is lost.
+TEST_F(CancellationTest, NotAcknowledgedWhileLeaderIsPartitioned) {
   Begin();
-  CutOff(leader);
+  PartitionFromAll(leader);
   RefuseLeaderThenStartOutage();
-  EXPECT_EQ(state, "") << "503: come back";
-  ExpectNoViolationAfterTheDeadline();
+  EXPECT_EQ(state, "") << "expected a 503 response";
+  ExpectNoViolationAfterDeadline();
   EXPECT_EQ(cluster.LiveTasks("j-1"), 3U);
   EXPECT_EQ(cluster.LeasesLost(), 0);
   cluster.partitions.clear();
   cluster.store.outage = false;
-  EXPECT_NE(cluster.Poll("j-1", others[1]), "withdrawn")
-      << "it is being stopped, and nobody was told";
+  EXPECT_NE(cluster.Poll("j-1", peers[1]), "withdrawn")
+      << "acknowledged before all controllers knew";
   RestoreAndExpectCancelled();
 }
 
-// While its user asks again, the next leader stops the tasks, and with the last one gone
-// the job is final: then the user is told, though the old leader never heard of it.
-TEST_F(CancellationTest, AcknowledgedOnceNoTaskRunsThoughAPeerIsUnreachable) {
+// The user repeats the request while the next leader stops the tasks. The cancellation is
+// acknowledged once the job is final, although the old leader never received it.
+TEST_F(CancellationTest, AcknowledgedOnceJobIsFinalDespiteUnreachablePeer) {
   Begin();
-  CutOff(leader);
+  PartitionFromAll(leader);
   cluster.controllers.at(leader)->store.refused = true;
-  int asked = 0;
-  for (; asked < 20 && state.empty(); ++asked) {
-    state = cluster.Cancel("j-1", others[0]);
+  int requests = 0;
+  for (; requests < 20 && state.empty(); ++requests) {
+    state = cluster.Cancel("j-1", peers[0]);
     if (state.empty()) cluster.AdvanceSeconds(1);
   }
   EXPECT_EQ(state, "withdrawn");
-  EXPECT_GT(asked, 1);
+  EXPECT_GT(requests, 1);
   EXPECT_EQ(cluster.LiveTasks("j-1"), 0U);
   RestoreAndExpectCancelled();
 }
 
-TEST_F(CancellationTest, PeerWhoseResponseIsLostHasNotAcknowledged) {
+TEST_F(CancellationTest, LostPeerResponseIsNoAcknowledgement) {
   Begin();
-  Cut(leader, others[0]);  // it hears, and its answer is lost
+  Partition(leader, peers[0]);  // the announcement arrives, but its response is lost
   RefuseLeaderThenStartOutage();
   EXPECT_EQ(state, "");
   cluster.AdvanceSeconds(4);
-  EXPECT_EQ(cluster.LiveTasks("j-1"), 0U) << "its user has no use for it";
-  ExpectNoViolationAfterTheDeadline();
+  EXPECT_EQ(cluster.LiveTasks("j-1"), 0U)
+      << "not stopped, although the leader received the announcement";
+  ExpectNoViolationAfterDeadline();
   RestoreAndExpectCancelled();
 }
 
-TEST_F(CancellationTest, ControllerCrashesRightAfterAcknowledging) {
+TEST_F(CancellationTest, ControllerCrashesAfterAcknowledging) {
   Begin();
   RefuseLeaderThenStartOutage();
   ASSERT_EQ(state, "withdrawn");
-  cluster.StopController(others[0]);
-  ExpectNoViolationAfterTheDeadline();
+  cluster.StopController(peers[0]);
+  ExpectNoViolationAfterDeadline();
   EXPECT_EQ(cluster.LiveTasks("j-1"), 0U);
-  cluster.StartController(others[0]);
+  cluster.StartController(peers[0]);
   RestoreAndExpectCancelled();
 }
 
-TEST_F(CancellationTest, ControllerRestartsRightAfterAcknowledging) {
+TEST_F(CancellationTest, ControllerRestartsAfterAcknowledging) {
   Begin();
   RefuseLeaderThenStartOutage();
   ASSERT_EQ(state, "withdrawn");
-  cluster.StopController(others[0]);
-  cluster.StartController(others[0]);
-  ExpectNoViolationAfterTheDeadline();
+  cluster.StopController(peers[0]);
+  cluster.StartController(peers[0]);
+  ExpectNoViolationAfterDeadline();
   EXPECT_EQ(cluster.LiveTasks("j-1"), 0U);
   RestoreAndExpectCancelled();
 }
 
-// The first step lands after its teller has gone. Whoever reads it tells nobody before all
-// know; and the second step is never there before that.
-TEST_F(CancellationTest, ControllerCrashesAtEachOfItsWrites) {
+// A controller crashes at each write of a cancellation. The first write may commit after the crash;
+// a controller that reads it acknowledges nothing before all controllers know. The second write is
+// never made before that.
+TEST_F(CancellationTest, ControllerCrashesAtEachWrite) {
   for (const auto fault :
        {FakeStore::Fault::kRefuse, FakeStore::Fault::kLoseResponse, FakeStore::Fault::kCommitLate})
-    for (int at = 0; at < 2; ++at) {
-      SCOPED_TRACE(std::to_string(static_cast<int>(fault)) + " at " + std::to_string(at));
+    for (int fault_step = 0; fault_step < 2; ++fault_step) {
+      SCOPED_TRACE(std::to_string(static_cast<int>(fault)) + " at " + std::to_string(fault_step));
       SimulatedCluster world;
       world.AdvanceSeconds(3);
       ASSERT_TRUE(world.Submit("j-1", 3, "n1"));
       world.AdvanceSeconds(10);
-      const std::string lead = world.Leader();
-      const std::string teller = lead == "n0" ? "n1" : "n0";
-      const std::string third = lead == "n2" ? "n1" : "n2";
-      world.controllers.at(lead)->store.refused = true;
+      const std::string leader_label = world.Leader();
+      const std::string canceller = leader_label == "n0" ? "n1" : "n0";
+      const std::string third = leader_label == "n2" ? "n1" : "n2";
+      world.controllers.at(leader_label)->store.refused = true;
       world.store.crash_fault = fault;
-      world.store.commits_until_crash = at;
-      EXPECT_THROW(world.Cancel("j-1", teller), FakeStore::Crashed);
-      world.StopController(teller);
-      world.StartController(teller);
-      if (at == 1) {
-        world.partitions.insert({third, lead});  // it can't ask the leader itself
+      world.store.commits_until_crash = fault_step;
+      EXPECT_THROW(world.Cancel("j-1", canceller), FakeStore::Crashed);
+      world.StopController(canceller);
+      world.StartController(canceller);
+      if (fault_step == 1) {
+        world.partitions.insert({third, leader_label});  // it cannot reach the leader
       }
       world.AdvanceSeconds(1);
       while (world.store.has_delayed_transactions()) world.store.DeliverDelayed();
-      const std::string mood_at_third = world.Poll("j-1", third);
-      EXPECT_EQ(mood_at_third == "withdrawn", at == 1 && fault != FakeStore::Fault::kRefuse);
+      const std::string state_at_third = world.Poll("j-1", third);
+      EXPECT_EQ(state_at_third == "withdrawn",
+                fault_step == 1 && fault != FakeStore::Fault::kRefuse);
       world.store.outage = true;
       world.AdvanceSeconds(70);
       EXPECT_EQ(world.violations, std::set<std::string>{});
       world.store.outage = false;
       world.partitions.clear();
-      world.controllers.at(lead)->store.refused = false;
+      world.controllers.at(leader_label)->store.refused = false;
       world.AdvanceSeconds(12);
       EXPECT_EQ(world.Cancel("j-1", third), "withdrawn");
       world.AdvanceSeconds(5);
@@ -179,11 +183,11 @@
     }
 }
 
-// A controller ends after it has said that it knows, and its next run leads: it finds what
-// was durable before it was asked, and renews nothing before it has looked.
-TEST_F(CancellationTest, RestartedControllerKnowsWhatItAcknowledged) {
+// A controller restarts after acknowledging a cancellation. It loads the cancellation, which was
+// durable before the acknowledgement, and renews no lease before the jobs are loaded.
+TEST_F(CancellationTest, RestartedControllerKnowsAcknowledgedCancellation) {
   Begin();
-  ASSERT_EQ(cluster.Cancel("j-1", others[0]), "withdrawn");
+  ASSERT_EQ(cluster.Cancel("j-1", peers[0]), "withdrawn");
   cluster.StopController(leader);
   cluster.StartController(leader);
   SimulatedController& next = *cluster.controllers.at(leader);
@@ -198,29 +202,30 @@
   EXPECT_TRUE(next.cancellations.Loaded());
   EXPECT_TRUE(next.api.cache().IsCancelled({"j-1"}) || cluster.LiveTasks("j-1") == 0);
   next.store.refused = true;
-  EXPECT_TRUE(next.cancellations.Loaded()) << "what it knows it does not lose";
+  EXPECT_TRUE(next.cancellations.Loaded()) << "an outage must not unload cancellations";
 }
 
 TEST_F(CancellationTest, LeaderPausesAtEachStep) {
-  for (int at = 0; at < 6; ++at)
+  for (int fault_step = 0; fault_step < 6; ++fault_step)
     for (const int length : {3, 18, 30, 60}) {
-      SCOPED_TRACE(std::to_string(at) + ", " + std::to_string(length));
+      SCOPED_TRACE(std::to_string(fault_step) + ", " + std::to_string(length));
       SimulatedCluster world;
       world.AdvanceSeconds(3);
       ASSERT_TRUE(world.Submit("j-1", 3, "n1"));
       world.AdvanceSeconds(8);
-      const std::string lead = world.Leader();
-      const std::string other = lead == "n0" ? "n1" : "n0";
+      const std::string leader_label = world.Leader();
+      const std::string other = leader_label == "n0" ? "n1" : "n0";
       const auto pause = [&](int step) {
-        if (at == step) world.paused_until[lead] = world.now + Seconds{1.0 * length};
+        if (fault_step == step)
+          world.paused_until[leader_label] = world.now + Seconds{1.0 * length};
       };
       pause(0);
-      world.controllers.at(lead)->store.refused = true;
+      world.controllers.at(leader_label)->store.refused = true;
       pause(1);
       world.AdvanceSeconds(1);
       pause(2);
-      const bool told = world.Cancel("j-1", other) == "withdrawn";
-      EXPECT_EQ(told, world.IsUp(lead));
+      const bool acknowledged = world.Cancel("j-1", other) == "withdrawn";
+      EXPECT_EQ(acknowledged, world.IsUp(leader_label));
       pause(3);
       world.store.outage = true;
       world.AdvanceSeconds(4);
@@ -228,126 +233,129 @@
       world.AdvanceSeconds(3);
       pause(5);
       world.AdvanceSeconds(70);
-      EXPECT_TRUE(!told || world.LiveTasks("j-1") == 0);
+      EXPECT_TRUE(!acknowledged || world.LiveTasks("j-1") == 0);
       EXPECT_EQ(world.violations, std::set<std::string>{});
     }
 }
 
-// What it is told does not reach it, by whatever way: its lease ends by itself.
-TEST_F(CancellationTest, WorkerWithoutResponsesLosesItsLease) {
+// Neither responses nor commands reach the workers, so their leases expire.
+TEST_F(CancellationTest, WorkerWithoutResponsesLosesLease) {
   Begin();
-  for (auto& m : cluster.machines) m.receives_nothing = m.worker.HasLiveTask({{"j-1"}, 0});
+  for (auto& machine : cluster.machines)
+    machine.receives_nothing = machine.worker.HasLiveTask({{"j-1"}, 0});
   RefuseLeaderThenStartOutage();
   ASSERT_EQ(state, "withdrawn");
-  ExpectNoViolationAfterTheDeadline();
+  ExpectNoViolationAfterDeadline();
   EXPECT_EQ(cluster.LiveTasks("j-1"), 0U);
   EXPECT_GT(cluster.LeasesLost(), 0);
 }
 
-// Reports are looked at three seconds after they were sent, in every round.
-TEST_F(CancellationTest, SlowHeartbeatRenewsTheLeaseFromWhenItWasSent) {
+// Every heartbeat is handled three seconds after it was sent.
+TEST_F(CancellationTest, SlowHeartbeatRenewsLeaseFromSendTime) {
   Begin();
-  for (auto& m : cluster.machines) m.slow_heartbeats = true;
+  for (auto& machine : cluster.machines) machine.slow_heartbeats = true;
   RefuseLeaderThenStartOutage();
   ASSERT_EQ(state, "withdrawn");
-  ExpectNoViolationAfterTheDeadline();
+  ExpectNoViolationAfterDeadline();
   EXPECT_EQ(cluster.LiveTasks("j-1"), 0U);
 }
 
-// Commands to start a task are held up for a minute and arrive after the cancellation;
-// the lease is meanwhile kept by a controller that does not lead.
-TEST_F(CancellationTest, FollowerThatRenewsLeasesFencesDelayedCommands) {
+// Commands that start a task are delayed for a minute and arrive after the cancellation, while a
+// follower renews the lease.
+TEST_F(CancellationTest, FollowerRenewingLeasesFencesDelayedCommands) {
   Begin();
   ASSERT_EQ(cluster.LiveTasks("j-3"), 3U);
   const magpie::FencingToken before = cluster.machines.front().worker.token();
-  CutOff(leader);  // out of everybody's reach, but it lives and leads
-  SimulatedController& keeper = *cluster.controllers.at(others[0]);
+  PartitionFromAll(leader);  // partitioned, but running and leading
+  SimulatedController& follower = *cluster.controllers.at(peers[0]);
   cluster.store.outage = true;
   cluster.AdvanceSeconds(2);
   magpie::Heartbeat heartbeat = cluster.machines.front().worker.Snapshot();
   const std::string body = protocol::HeartbeatToJson(heartbeat).dump();
-  HttpResponse response = keeper.heartbeat_handler.Handle(body, HeartbeatRoute::kDirect);
-  ASSERT_EQ(response.status, 200) << "the leader fails, and we are cut off as well";
+  HttpResponse response = follower.heartbeat_handler.Handle(body, HeartbeatRoute::kDirect);
+  ASSERT_EQ(response.status, 200) << "the leader fails, and the follower is partitioned as well";
   protocol::Json answer = protocol::Json::parse(response.body);
   EXPECT_GT(answer.at("crest").get<std::uint64_t>(), before.value);
   EXPECT_TRUE(answer.at("calls").empty());
-  // It hears of a cancellation: the next answer has a stop for each task of it.
-  ASSERT_TRUE(keeper.cancellations.Record(
+  // Once it has recorded a cancellation, its response has a stop command for each of the job's
+  // tasks.
+  ASSERT_TRUE(follower.cancellations.Record(
       JobCache::Cancellation{{"j-1"}, {cluster.store.current_revision().value + 1}}));
   std::size_t listed = 0;
   for (const TaskStatus& t : heartbeat.tasks) listed += t.task.job.value == "j-1" ? 1 : 0;
   ASSERT_GT(listed, 0U);
-  response = keeper.heartbeat_handler.Handle(body, HeartbeatRoute::kDirect);
+  response = follower.heartbeat_handler.Handle(body, HeartbeatRoute::kDirect);
   ASSERT_EQ(response.status, 200);
   answer = protocol::Json::parse(response.body);
   EXPECT_EQ(answer.at("calls").size(), listed);
-  // With no token left it keeps nothing.
+  // A token that cannot be raised is not renewed.
   heartbeat.token = {heartbeat.token.value | 0xffffU};
-  EXPECT_FALSE(keeper.cancellations.FollowerResponse(heartbeat));
+  EXPECT_FALSE(follower.cancellations.FollowerResponse(heartbeat));
 }
 
-// Found on a standard day: in the first seconds of a cut the controller in the zone had not yet
-// seen that the state service was out of reach, and sent workers on, who then tried those out
-// of their reach one after the other until their leases were over.
-TEST_F(CancellationTest, LeasesAreRenewedFromTheFirstSecondOfAPartition) {
+// Guards against lost leases at the start of a partition: a follower that had not yet noticed that
+// the store was unreachable redirected workers, which then tried unreachable controllers one after
+// the other until their leases expired.
+TEST_F(CancellationTest, LeasesAreRenewedFromStartOfPartition) {
   Begin();
-  SimulatedController& keeper = *cluster.controllers.at(others[0]);
-  const magpie::Heartbeat now_known = cluster.machines.front().worker.Snapshot();
-  const Revision epoch = EpochOf(now_known.token);
+  SimulatedController& follower = *cluster.controllers.at(peers[0]);
+  const magpie::Heartbeat current_heartbeat = cluster.machines.front().worker.Snapshot();
+  const Revision epoch = EpochOf(current_heartbeat.token);
   const HttpAnswer refused{};
   const HttpAnswer closed{true, false, 0, {}};
   const HttpAnswer no_connection{false, false, 0, {}, true};
   const HttpAnswer no_answer{true, false, 0, {}, true};
   const HttpAnswer deposed{true, true, 421, {}};
   struct Row {
-    const char* what;
+    const char* description;
     std::string led_by;
     bool partitioned;
-    std::uint64_t workers;  // the epoch of its token
-    HttpAnswer leaders;
+    std::uint64_t worker_epoch;  // epoch of the worker's token
+    HttpAnswer leader_answer;
     int status;
   };
   const std::vector<Row> rows{
-      {"no connection to the leader comes about", leader, false, epoch.value, no_connection, 200},
-      {"a kept connection is silent", leader, false, epoch.value, no_answer, 200},
-      {"the leader's process ended", leader, false, epoch.value, refused, 421},
-      {"the same, over a kept connection", leader, false, epoch.value, closed, 421},
-      {"refused, and the state service is silent too", leader, true, epoch.value, refused, 200},
-      {"an earlier leader's worker", leader, false, epoch.value - 1, no_connection, 421},
-      {"the same once cut off", leader, true, epoch.value - 1, no_connection, 200},
-      {"it answers, though we are cut off", leader, true, epoch.value - 1, deposed, 421},
-      {"a later leader's worker", leader, true, epoch.value + 1, no_answer, 421},
-      {"nobody led when we were cut off", "", true, epoch.value, refused, 200},
-      {"nobody leads", "", false, epoch.value, refused, 503},
-      {"nobody that we know, and a later leader's worker", "", true, epoch.value + 1, refused, 503},
+      {"connection to the leader fails", leader, false, epoch.value, no_connection, 200},
+      {"no answer on an open connection", leader, false, epoch.value, no_answer, 200},
+      {"leader refuses the connection", leader, false, epoch.value, refused, 421},
+      {"leader closes an open connection", leader, false, epoch.value, closed, 421},
+      {"leader refuses, controller partitioned", leader, true, epoch.value, refused, 200},
+      {"worker of an earlier leader", leader, false, epoch.value - 1, no_connection, 421},
+      {"worker of an earlier leader, controller partitioned", leader, true, epoch.value - 1,
+       no_connection, 200},
+      {"leader answers, controller partitioned", leader, true, epoch.value - 1, deposed, 421},
+      {"worker of a later leader", leader, true, epoch.value + 1, no_answer, 421},
+      {"no leader, controller partitioned", "", true, epoch.value, refused, 200},
+      {"no leader", "", false, epoch.value, refused, 503},
+      {"no known leader, worker of a later leader", "", true, epoch.value + 1, refused, 503},
   };
   for (const Row& row : rows) {
-    SCOPED_TRACE(row.what);
-    HeartbeatHandler desk(
-        {kTestLease, kTestLeaderLease, {leader}}, keeper.mutex, keeper.core, keeper.leader_health,
-        keeper.cancellations,
+    SCOPED_TRACE(row.description);
+    HeartbeatHandler handler(
+        {kTestLease, kTestLeaderLease, {leader}}, follower.mutex, follower.core,
+        follower.leader_health, follower.cancellations,
         {[this] { return cluster.now; },
          [&] { return HeartbeatHandler::ClusterView{row.led_by, epoch, row.partitioned}; }, [] {},
-         [] {}, [&](const std::string&, const std::string&) { return row.leaders; }});
-    magpie::Heartbeat heartbeat = now_known;
-    heartbeat.token = FirstFencingToken({row.workers});
+         [] {}, [&](const std::string&, const std::string&) { return row.leader_answer; }});
+    magpie::Heartbeat heartbeat = current_heartbeat;
+    heartbeat.token = FirstFencingToken({row.worker_epoch});
     const HttpResponse response =
-        desk.Handle(protocol::HeartbeatToJson(heartbeat).dump(), HeartbeatRoute::kDirect);
+        handler.Handle(protocol::HeartbeatToJson(heartbeat).dump(), HeartbeatRoute::kDirect);
     EXPECT_EQ(response.status, row.status);
     if (response.status != 200) continue;
     const protocol::Json answer = protocol::Json::parse(response.body);
     EXPECT_EQ(answer.at("crest").get<std::uint64_t>(), heartbeat.token.value + 1);
-    EXPECT_TRUE(answer.at("calls").empty()) << "nothing is started by it";
-    // Whoever comes next is not sent to where nobody answers.
+    EXPECT_TRUE(answer.at("calls").empty()) << "a follower must not start tasks";
+    // The next worker is not redirected to the unreachable leader either.
     heartbeat.token = FirstFencingToken({epoch.value - 1});
     EXPECT_EQ(
-        desk.Handle(protocol::HeartbeatToJson(heartbeat).dump(), HeartbeatRoute::kDirect).status,
+        handler.Handle(protocol::HeartbeatToJson(heartbeat).dump(), HeartbeatRoute::kDirect).status,
         200);
   }
 }
 
-// Long for all, with all in touch: nothing is lost, however long it takes.
-TEST_F(CancellationTest, NoLeaseIsLostInAnOutageOfTheStoreAlone) {
+// A long outage of the store with all controllers connected to each other.
+TEST_F(CancellationTest, NoLeaseIsLostInStoreOutage) {
   Begin();
   cluster.store.outage = true;
   cluster.AdvanceSeconds(300);
@@ -356,23 +364,23 @@
   cluster.AdvanceSeconds(20);
   EXPECT_EQ(cluster.LeasesLost(), 0);
   EXPECT_EQ(cluster.LiveTasks("j-1"), 3U);
-  ASSERT_EQ(cluster.Cancel("j-1", others[0]), "withdrawn");
+  ASSERT_EQ(cluster.Cancel("j-1", peers[0]), "withdrawn");
   cluster.AdvanceSeconds(6);
   EXPECT_EQ(cluster.LiveTasks("j-1"), 0U);
   EXPECT_EQ(cluster.violations, std::set<std::string>{});
 }
 
-// A leader that has not read the jobs yet starts nothing and renews nothing; what workers
-// say is taken in all the same. What it was told of meanwhile it never starts.
-TEST_F(CancellationTest, NothingIsStartedOrRenewedUntilCancellationsAreLoaded) {
+// A leader that has not loaded the jobs starts no tasks and renews no leases, but processes
+// heartbeats. It never starts a task of a job whose cancellation was announced meanwhile.
+TEST_F(CancellationTest, NoStartsOrRenewalsUntilCancellationsAreLoaded) {
   Begin();
   SimulatedController& run = *cluster.controllers.at(leader);
   run.core.AllowTaskStarts(false);
-  ASSERT_TRUE(cluster.Submit("j-5", 1, others[0]));
+  ASSERT_TRUE(cluster.Submit("j-5", 1, peers[0]));
   cluster.AdvanceSeconds(1);
   run.core.AllowTaskStarts(false);
-  for (auto& m : cluster.machines)
-    for (const Command& c : run.core.OnHeartbeat(m.worker.Snapshot(), cluster.now).commands)
+  for (auto& machine : cluster.machines)
+    for (const Command& c : run.core.OnHeartbeat(machine.worker.Snapshot(), cluster.now).commands)
       EXPECT_NE(c.kind, CommandKind::kRun);
   const magpie::Heartbeat heartbeat = cluster.machines.front().worker.Snapshot();
   magpie::HeartbeatResponse reply;
@@ -392,7 +400,7 @@
 
 TEST_F(CancellationTest, MalformedAnnouncementIsRejected) {
   Begin();
-  SimulatedController& run = *cluster.controllers.at(others[0]);
+  SimulatedController& run = *cluster.controllers.at(peers[0]);
   for (const char* text : {"", "[]", "{}", R"({"job":"j-1"})", R"({"job":"j-1","stamp":-1})",
                            R"({"job":"j-1","stamp":"7"})", R"({"job":"nonsense","stamp":7})",
                            R"({"job":7,"stamp":7})", R"({"job":"j-1","stamp":)"})
@@ -401,8 +409,8 @@
   EXPECT_FALSE(run.api.cache().IsCancelled({"j-1"}));
 }
 
-// A controller that can keep no more in mind does not say that it knows.
-TEST_F(CancellationTest, NothingIsAcknowledgedBeyondTheRegistrysLimit) {
+// A controller whose registry is full does not acknowledge further cancellations.
+TEST_F(CancellationTest, FullRegistryDoesNotAcknowledge) {
   Begin();
   SimulatedController& run = *cluster.controllers.at(leader);
   run.store.refused = true;
@@ -414,57 +422,58 @@
     ++kept;
   EXPECT_GE(kept, 10000U);
   EXPECT_LT(kept, 100000U);
-  EXPECT_EQ(cluster.Cancel("j-1", others[0]), "");
+  EXPECT_EQ(cluster.Cancel("j-1", peers[0]), "");
   EXPECT_TRUE(run.cancellations.Record(JobCache::Cancellation{{"j-90"}, {from}}))
-      << "known already";
+      << "already recorded";
 }
 
-// One that is silent is not asked with each repeat of the user's, and with a lease that
-// may outlast cancel_s users are told when jobs are final, only.
+// A peer that did not answer is not asked again with each repeated request. With a lease that may
+// outlast cancel_s, cancellations are acknowledged only when jobs are final.
 TEST(CancellationBroadcasterTest, AsksEachPeerAndBacksOff) {
   Instant now{100};
-  std::map<std::string, int> asked;
-  bool second_answers = false;
+  std::map<std::string, int> requests;
+  bool n2_answers = false;
   const auto hooks = [&] {
     return CancellationBroadcaster::Hooks{[&] { return now; },
                                           [&](const std::string& member, const JobId&, Revision) {
-                                            ++asked[member];
-                                            return member == "n1" || second_answers;
+                                            ++requests[member];
+                                            return member == "n1" || n2_answers;
                                           },
                                           [](const JobId&, Revision) { return true; }};
   };
-  CancellationBroadcaster announcer({{"n1", "n2"}, false}, hooks());
-  EXPECT_FALSE(announcer.Broadcast({"j-1"}, {7}));
-  EXPECT_FALSE(announcer.Broadcast({"j-1"}, {7}));
-  EXPECT_EQ(asked["n1"], 2);
-  EXPECT_EQ(asked["n2"], 1);
-  second_answers = true;
-  EXPECT_FALSE(announcer.Broadcast({"j-1"}, {7})) << "not asked, so it has not said it";
+  CancellationBroadcaster broadcaster({{"n1", "n2"}, false}, hooks());
+  EXPECT_FALSE(broadcaster.Broadcast({"j-1"}, {7}));
+  EXPECT_FALSE(broadcaster.Broadcast({"j-1"}, {7}));
+  EXPECT_EQ(requests["n1"], 2);
+  EXPECT_EQ(requests["n2"], 1);
+  n2_answers = true;
+  EXPECT_FALSE(broadcaster.Broadcast({"j-1"}, {7}))
+      << "n2 was not asked again, so it has not acknowledged";
   now = now + Seconds{3};
-  EXPECT_TRUE(announcer.Broadcast({"j-1"}, {7}));
-  EXPECT_TRUE(announcer.Broadcast({"j-1"}, {7}));
+  EXPECT_TRUE(broadcaster.Broadcast({"j-1"}, {7}));
+  EXPECT_TRUE(broadcaster.Broadcast({"j-1"}, {7}));
   EXPECT_FALSE(CancellationBroadcaster({{"n1", "n2"}, true}, hooks()).Broadcast({"j-1"}, {7}));
-  // Silent ones are asked last, and none once its time is over.
-  second_answers = false;
-  EXPECT_FALSE(announcer.Broadcast({"j-1"}, {7}));
+  // Unresponsive peers are asked last, and none after the broadcast timeout.
+  n2_answers = false;
+  EXPECT_FALSE(broadcaster.Broadcast({"j-1"}, {7}));
   now = now + Seconds{3};
   std::vector<std::string> order;
-  CancellationBroadcaster slow({{"n2", "n1", "n3", "n4"}, false},
-                               {[&] { return now; },
-                                [&](const std::string& member, const JobId&, Revision) {
-                                  order.push_back(member);
-                                  if (member == "n1") return true;
-                                  now = now + Seconds{0.6};
-                                  return false;
-                                },
-                                [](const JobId&, Revision) { return true; }});
-  EXPECT_FALSE(slow.Broadcast({"j-1"}, {7}));
+  CancellationBroadcaster slow_broadcaster({{"n2", "n1", "n3", "n4"}, false},
+                                           {[&] { return now; },
+                                            [&](const std::string& member, const JobId&, Revision) {
+                                              order.push_back(member);
+                                              if (member == "n1") return true;
+                                              now = now + Seconds{0.6};
+                                              return false;
+                                            },
+                                            [](const JobId&, Revision) { return true; }});
+  EXPECT_FALSE(slow_broadcaster.Broadcast({"j-1"}, {7}));
   now = now + Seconds{3};
   order.clear();
-  EXPECT_FALSE(slow.Broadcast({"j-1"}, {7}));
+  EXPECT_FALSE(slow_broadcaster.Broadcast({"j-1"}, {7}));
   EXPECT_EQ(order, (std::vector<std::string>{"n1", "n2", "n3", "n4"}));
   EXPECT_TRUE(CancellationBroadcaster({{}, false}, hooks()).Broadcast({"j-1"}, {7}))
-      << "there is nobody else";
+      << "there are no peers";
   EXPECT_TRUE(CancellationBroadcaster::AllowsEarlyAcknowledgement({45}, {75}));
   EXPECT_TRUE(CancellationBroadcaster::AllowsEarlyAcknowledgement({18}, {48}));
   EXPECT_FALSE(CancellationBroadcaster::AllowsEarlyAcknowledgement({45}, {50}));
--- a/tests/failover_timeline_test.cc
+++ b/tests/failover_timeline_test.cc
@@ -1,5 +1,5 @@
-// Stories of a start after all controllers went down: what is squared when, and
-// what is ordered meanwhile.
+// Takeover after all controllers were down: when machines are reconciled, and which commands are
+// sent meanwhile.
 #include "failover/failover_timeline.h"
 
 #include <gtest/gtest.h>
@@ -11,21 +11,21 @@
 
 class LeaderStartTest : public ClusterTest {
  protected:
-  // Four full machines; then the only controller is lost.
-  void RunEverywhere() {
-    TestController& old = AddController("n0");
+  // Fills four machines with tasks, then ends the lease of the only controller.
+  void FillMachinesAndEndLease() {
+    TestController& old_leader = AddController("n0");
     for (int i = 0; i < 4; ++i) AddWorker("m-" + std::to_string(i), "small");
-    ASSERT_TRUE(old.TakeOver(now));
-    Settle(old);
-    Run(old, MakeJob("j-1", 8));
-    Settle(old);
+    ASSERT_TRUE(old_leader.TakeOver(now));
+    Settle(old_leader);
+    Run(old_leader, MakeJob("j-1", 8));
+    Settle(old_leader);
     ASSERT_EQ(CountLiveTasks(), 8U);
     store.ExpireLeases();
   }
 };
 
 TEST_F(LeaderStartTest, MachinesAreReconciledByHeartbeatOrRelease) {
-  RunEverywhere();
+  FillMachinesAndEndLease();
   TestController& node = AddController("n1");
   ASSERT_TRUE(node.TakeOver(now));
   EXPECT_EQ(node.core.GetReconciliationProgress().machines, 4U);
@@ -33,20 +33,19 @@
   auto worker = workers_.begin();
   Heartbeat(node, *worker++);
   Heartbeat(node, *worker);
-  Heartbeat(node, *worker++);  // once more: it counts once
+  Heartbeat(node, *worker++);  // a repeated heartbeat counts once
   EXPECT_EQ(node.core.GetReconciliationProgress().reconciled, 2U);
-  CloudCall gone;
-  gone.kind = CloudCall::Kind::kRelease;
-  gone.release = {worker->id()};
-  node.core.OnReleased(gone, now);
+  CloudCall release_call;
+  release_call.kind = CloudCall::Kind::kRelease;
+  release_call.release = {worker->id()};
+  node.core.OnReleased(release_call, now);
   EXPECT_EQ(node.core.GetReconciliationProgress().reconciled, 3U);
   Heartbeat(node, *++worker);
   EXPECT_EQ(node.core.GetReconciliationProgress().reconciled, 4U);
 }
 
-// What the workers do already is not ordered at all.
-TEST_F(LeaderStartTest, NothingIsCommandedWhereAllIsAsRecorded) {
-  RunEverywhere();
+TEST_F(LeaderStartTest, SendsNoCommandsWhenWorkersMatchRecords) {
+  FillMachinesAndEndLease();
   TestController& node = AddController("n1");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
@@ -56,32 +55,32 @@
   EXPECT_EQ(CountLiveTasks(), 8U);
 }
 
-// One task ended while nobody led: it is told to be forgotten once its end is
-// durable, and nothing else is ordered.
-TEST_F(LeaderStartTest, OnlyDifferencesAreCommanded) {
-  RunEverywhere();
+// One task ended while there was no leader. Its worker gets a command to forget the task once the
+// result is durable, and no other command is sent.
+TEST_F(LeaderStartTest, SendsCommandsOnlyForDifferences) {
+  FillMachinesAndEndLease();
   const TaskId ended = workers_.front().Snapshot().tasks.front().task;
   workers_.front().End(ended, ExitReason::kDone);
   TestController& node = AddController("n1");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
-  AdvanceTime(1);  // changes are paced from the start on
+  AdvanceTime(1);  // writes are rate limited from the start
   Settle(node);
   EXPECT_EQ(node.core.GetReconciliationProgress().commands_issued, 1U);
   EXPECT_EQ(workers_.front().ReportedTaskCount(), 1U);
   EXPECT_EQ(CountLiveTasks(), 7U);
 }
 
-// Machines died just before their leader did. The next one knew them from the records
-// alone and waited for 2.5 report intervals, although they answered no probe.
-TEST_F(LeaderStartTest, MachinesLostBeforeATakeoverAreFoundByProbes) {
-  RunEverywhere();
+// Machines failed just before the leader did. The next leader knew them only from the records and
+// waited 2.5 heartbeat intervals, although they answered no probe.
+TEST_F(LeaderStartTest, ProbesDetectMachinesLostBeforeTakeover) {
+  FillMachinesAndEndLease();
   TestController& node = AddController("n1");
   ASSERT_TRUE(node.TakeOver(now));
   const MachineId dead = workers_.front().id();
   unresponsive_workers_.insert(dead);
   listed = {{dead, "127.0.0.1:1", "small", "a", false, ListedMachine::State::kRunning, {50}}};
-  RunCloud(node);  // its address comes from the cloud
+  RunCloud(node);  // provides the machine's address
   for (int i = 0; i < 12; ++i) {
     Settle(node, 1);
     while (auto probe = node.core.NextProbe(now)) {
@@ -93,15 +92,15 @@
         node.core.OnDirectCommandResult(*probe, DeliveryStatus::kUnknown, std::nullopt, now);
     }
     if (i == 2) {
-      EXPECT_TRUE(ReleasedMachines(RunCloud(node)).empty()) << "one missed probe proves nothing";
+      EXPECT_TRUE(ReleasedMachines(RunCloud(node)).empty()) << "released after one missed probe";
     }
     AdvanceTime(0.5);
   }
   EXPECT_EQ(ReleasedMachines(RunCloud(node)), std::set<MachineId>{dead});
 }
 
-TEST_F(LeaderStartTest, SecondCrashDuringReconciliationStartsOver) {
-  RunEverywhere();
+TEST_F(LeaderStartTest, SecondCrashRestartsReconciliation) {
+  FillMachinesAndEndLease();
   TestController& second = AddController("n1");
   ASSERT_TRUE(second.TakeOver(now));
   Heartbeat(second, workers_.front());
@@ -116,7 +115,7 @@
   EXPECT_EQ(CountLiveTasks(), 8U);
 }
 
-TEST(FailoverTimelineTest, EachStepIsRecordedOnce) {
+TEST(FailoverTimelineTest, RecordsEachStepOnce) {
   using Step = FailoverTimeline::Step;
   FailoverTimeline timeline({10});
   EXPECT_FALSE(timeline.ElapsedUntil(Step::kStoreReached));
@@ -133,7 +132,7 @@
   EXPECT_EQ(timeline.ElapsedUntil(Step::kMostReconciled)->value, 7);
 }
 
-TEST(FailoverTimelineTest, AnotherLeadershipStartsANewTimeline) {
+TEST(FailoverTimelineTest, RestartClearsStepsFromElection) {
   using Step = FailoverTimeline::Step;
   FailoverTimeline timeline({0});
   for (const Step step :
@@ -147,7 +146,7 @@
   EXPECT_EQ(timeline.ElapsedUntil(Step::kElected)->value, 8);
 }
 
-TEST(FailoverTimelineTest, WithoutMachinesAllAreReconciled) {
+TEST(FailoverTimelineTest, ReconciledWithoutMachines) {
   FailoverTimeline timeline({0});
   timeline.OnReconciled(0, 0, {1});
   EXPECT_TRUE(timeline.ElapsedUntil(FailoverTimeline::Step::kMostReconciled));
--- a/tests/fake_key_value_store.h
+++ b/tests/fake_key_value_store.h
@@ -1,4 +1,4 @@
-// The state service in memory, with the ways in which it can fail.
+// An in-memory key-value store with fault injection.
 #pragma once
 
 #include <algorithm>
@@ -17,22 +17,22 @@
   enum class Fault {
     kNone,
     kRefuse,        // 503: not carried out
-    kLoseResponse,  // carried out, but the answer is lost
-    kCommitLate,    // held back on its way; Deliver() carries it out
+    kLoseResponse,  // carried out, but the response is lost
+    kCommitLate,    // delayed and unanswered; Deliver() carries it out
   };
-  // The fault of the next commit; those after it are healthy again.
+  // The fault of the next commit; later commits succeed.
   Fault next_commit = Fault::kNone;
-  // The process that makes the commit after so many more ends at it (it throws), while
-  // the commit itself fares as the fault says.
+  // Simulates a crash of the calling process in the commit after this many others: the call throws
+  // Ended, and `crash_fault` is the fault of the commit itself. Negative: no crash.
   struct Crashed {};
   int commits_until_crash = -1;
   Fault crash_fault = Fault::kNone;
   bool outage = false;
   int commits = 0;
   int watches = 0;
-  Revision compacted_before;  // changes before this one are not told any more
+  Revision compacted_before;  // watches from before this revision are too old
 
-  // What happens just before the next look at a key.
+  // Called once, just before the next Get().
   std::function<void()> before_get;
 
   GetResult Get(const std::string& key) override {
@@ -52,41 +52,41 @@
     }
     r.status = StoreStatus::kOk;
     r.revision = tick_;
-    for (const auto& [key, held] : keys_) {
+    for (const auto& [key, stored] : keys_) {
       if (!key.starts_with(prefix) || key <= after) continue;
       if (r.entries.size() == page) {
         r.more = true;
         break;
       }
-      r.entries.push_back({key, held.value, held.revision});
+      r.entries.push_back({key, stored.value, stored.revision});
     }
     return r;
   }
 
-  TransactionResult Commit(const Transaction& txn) override {
+  TransactionResult Commit(const Transaction& transaction) override {
     if (outage) return {StoreStatus::kRefused, {}, {}, false};
     Fault fault = std::exchange(next_commit, Fault::kNone);
-    const bool ends = commits_until_crash >= 0 && commits_until_crash-- == 0;
-    if (ends) {
-      if (crash_fault == Fault::kCommitLate) late_.push_back(txn);
-      if (crash_fault == Fault::kLoseResponse) Carry(txn);
+    const bool crashes = commits_until_crash >= 0 && commits_until_crash-- == 0;
+    if (crashes) {
+      if (crash_fault == Fault::kCommitLate) delayed_.push_back(transaction);
+      if (crash_fault == Fault::kLoseResponse) Execute(transaction);
       throw Crashed{};
     }
     if (fault == Fault::kRefuse) return {StoreStatus::kRefused, {}, {}, false};
     if (fault == Fault::kCommitLate) {
-      late_.push_back(txn);
+      delayed_.push_back(transaction);
       return {};
     }
-    TransactionResult result = Carry(txn);
+    TransactionResult result = Execute(transaction);
     return fault == Fault::kLoseResponse ? TransactionResult{} : result;
   }
 
-  bool has_delayed_transactions() const { return !late_.empty(); }
-  // Carries out what was held back; false when its conditions hold no more.
+  bool has_delayed_transactions() const { return !delayed_.empty(); }
+  // Carries out the first delayed transaction. Returns false if it is not committed.
   bool DeliverDelayed() {
-    const Transaction txn = late_.front();
-    late_.pop_front();
-    return Carry(txn).status == StoreStatus::kOk;
+    const Transaction transaction = delayed_.front();
+    delayed_.pop_front();
+    return Execute(transaction).status == StoreStatus::kOk;
   }
 
   LeaseResult Grant(Seconds) override {
@@ -112,39 +112,39 @@
     return result;
   }
 
-  // Ends all leases, as when their holders died.
+  // Ends all leases, as if their holders had failed.
   void ExpireLeases() {
     leases_.clear();
     ++tick_.value;
     std::erase_if(keys_, [](const auto& e) { return e.second.lease.has_value(); });
   }
 
-  // Ends one, as when its holder was not served for long enough.
+  // Ends one lease, as if its holder had not renewed it in time.
   void EndLease(LeaseId lease) {
     if (leases_.erase(lease.value) == 0) return;
     const auto attached = [&](const auto& e) { return e.second.lease == lease; };
     if (std::none_of(keys_.begin(), keys_.end(), attached)) return;
     ++tick_.value;
-    for (const auto& [key, held] : keys_)
-      if (held.lease == lease) log_.push_back({key, std::nullopt, tick_});
+    for (const auto& [key, stored] : keys_)
+      if (stored.lease == lease) log_.push_back({key, std::nullopt, tick_});
     std::erase_if(keys_, attached);
   }
 
   Revision current_revision() const { return tick_; }
 
  private:
-  struct HeldTask {
+  struct StoredValue {
     Json value;
     Revision revision;
     std::optional<LeaseId> lease;
   };
 
-  TransactionResult Carry(const Transaction& txn) {
+  TransactionResult Execute(const Transaction& transaction) {
     ++commits;
     TransactionResult result{StoreStatus::kOk, tick_, {}};
-    for (const Change& c : txn.changes)
+    for (const Change& c : transaction.changes)
       if (c.lease && !leases_.contains(c.lease->value)) return {StoreStatus::kInvalid, {}, {}};
-    for (const Condition& c : txn.conditions) {
+    for (const Condition& c : transaction.conditions) {
       auto it = keys_.find(c.key);
       if ((it == keys_.end() ? Revision{} : it->second.revision) != c.revision)
         result.failed.push_back(c.key);
@@ -153,8 +153,8 @@
       result.status = StoreStatus::kConflict;
       return result;
     }
-    if (!txn.changes.empty()) ++tick_.value;
-    for (const Change& c : txn.changes) {
+    if (!transaction.changes.empty()) ++tick_.value;
+    for (const Change& c : transaction.changes) {
       if (c.value)
         keys_[c.key] = {*c.value, tick_, c.lease};
       else
@@ -165,11 +165,11 @@
     return result;
   }
 
-  std::map<std::string, HeldTask> keys_;
+  std::map<std::string, StoredValue> keys_;
   Revision tick_{1};
   std::set<std::uint64_t> leases_;
   std::uint64_t last_lease_ = 0;
-  std::deque<Transaction> late_;
+  std::deque<Transaction> delayed_;
   std::vector<WatchEvent> log_;
 };
 
--- a/tests/faulty_store.h
+++ b/tests/faulty_store.h
@@ -15,23 +15,23 @@
 
 // A fault of one call to the key-value store.
 struct InjectedFault {
-  Seconds request_delay;       // delay until the call is carried out
-  Seconds response_delay;      // delay until its answer arrives
-  bool response_lost = false;  // the answer is lost
+  Seconds request_delay;       // delay before the call is carried out
+  Seconds response_delay;      // delay of the response
+  bool response_lost = false;  // the response is lost
 };
 
-// A key-value store client whose calls fail as a test decides.
+// A key-value store client whose calls fail as configured by a test.
 class FaultyStore : public KeyValueStore {
  public:
   FaultyStore(FakeStore& store, const Instant& now, std::function<void(Seconds)> wait)
       : store_(store), now_(now), wait_(std::move(wait)) {}
-  bool refused = false;  // every call, until it is reset
+  bool refused = false;  // while set, every call is refused
   // Whether the next call exceeds the rate limit (429) and changes nothing.
   std::function<bool()> rate_limited = [] { return false; };
   std::function<InjectedFault(bool write)> next_fault = [](bool) { return InjectedFault{}; };
   // Called with each transaction as it is sent, whether or not it is carried out.
   std::function<void(const Transaction&)> on_commit = [](const Transaction&) {};
-  std::map<std::uint64_t, Instant> renewed_leases;  // leases granted here, when last renewed
+  std::map<std::uint64_t, Instant> renewed_leases;  // last renewal, by lease granted here
 
   bool open() const { return !refused && !store_.outage; }
   GetResult Get(const std::string& key) override {
@@ -40,26 +40,27 @@
     });
   }
   RangeResult Range(const std::string& prefix, const std::string& after,
-                    std::uint32_t page) override {
+                    std::uint32_t limit) override {
     return Call<RangeResult>(false, [&] {
-      if (!IsRefused()) return store_.Range(prefix, after, page);
+      if (!IsRefused()) return store_.Range(prefix, after, limit);
       RangeResult result;
       result.status = StoreStatus::kRefused;
       return result;
     });
   }
-  TransactionResult Commit(const Transaction& txn) override {
-    on_commit(txn);
+  TransactionResult Commit(const Transaction& transaction) override {
+    on_commit(transaction);
     return Call<TransactionResult>(true, [&] {
-      const bool too_many = rate_limited();
-      return refused || too_many ? TransactionResult{StoreStatus::kRefused, {}, {}, too_many}
-                                 : store_.Commit(txn);
+      const bool exceeds_rate_limit = rate_limited();
+      return refused || exceeds_rate_limit
+                 ? TransactionResult{StoreStatus::kRefused, {}, {}, exceeds_rate_limit}
+                 : store_.Commit(transaction);
     });
   }
-  LeaseResult Grant(Seconds life) override {
+  LeaseResult Grant(Seconds time_to_live) override {
     return Call<LeaseResult>(false, [&] {
       if (IsRefused()) return LeaseResult{StoreStatus::kRefused, {}};
-      const LeaseResult result = store_.Grant(life);
+      const LeaseResult result = store_.Grant(time_to_live);
       if (result.status == StoreStatus::kOk) renewed_leases[result.lease.value] = now_;
       return result;
     });
--- a/tests/late_write_test.cc
+++ b/tests/late_write_test.cc
@@ -1,5 +1,5 @@
-// Transactions that commit after their caller gave up, or whose response is lost: what a leader may
-// conclude from what it then reads.
+// Transactions that commit after their caller has timed out, or whose response is lost: what a
+// leader may conclude from reading the store afterwards.
 #include <gtest/gtest.h>
 
 #include "simulated_cluster.h"
@@ -10,60 +10,61 @@
 
 class LateWriteTest : public ClusterTest {
  protected:
-  // n0 leads, and is about to write that j-2, which ran on m-1, is over, and that j-3 is
-  // bound to m-2.
-  std::pair<TestController*, WriteBatch> AnEndAndABinding() {
-    m1 = &AddWorker("m-1", "large");
-    TestController& before = AddController("n0");
-    EXPECT_TRUE(before.TakeOver(now));
-    Heartbeat(before, *m1);
-    Run(before, MakeJob("j-2"));
-    Settle(before);
-    m1->End({{"j-2"}, 0}, ExitReason::kDone);
-    Heartbeat(before, *m1);
-    m2 = &AddWorker("m-2", "small");
-    Heartbeat(before, *m2);
-    Run(before, MakeJob("j-3"));
-    before.core.Tick(now, wall);
-    WriteBatch plan = before.core.NextWriteBatch(now);
-    EXPECT_EQ(plan.finals.size(), 1U);
-    EXPECT_EQ(plan.puts.size(), 1U);
-    return {&before, std::move(plan)};
+  // Returns n0 as the leader with a pending write batch: the final record of j-2, which ran on m-1,
+  // and the binding of j-3 to m-2.
+  std::pair<TestController*, WriteBatch> PrepareOutcomeAndBinding() {
+    worker1 = &AddWorker("m-1", "large");
+    TestController& old_leader = AddController("n0");
+    EXPECT_TRUE(old_leader.TakeOver(now));
+    Heartbeat(old_leader, *worker1);
+    Run(old_leader, MakeJob("j-2"));
+    Settle(old_leader);
+    worker1->End({{"j-2"}, 0}, ExitReason::kDone);
+    Heartbeat(old_leader, *worker1);
+    worker2 = &AddWorker("m-2", "small");
+    Heartbeat(old_leader, *worker2);
+    Run(old_leader, MakeJob("j-3"));
+    old_leader.core.Tick(now, wall);
+    WriteBatch batch = old_leader.core.NextWriteBatch(now);
+    EXPECT_EQ(batch.finals.size(), 1U);
+    EXPECT_EQ(batch.puts.size(), 1U);
+    return {&old_leader, std::move(batch)};
   }
 
-  // n1 takes the lead, hears of the result and writes the end. m-2 is not heard of.
-  TestController& NextWritesTheEnd() {
+  // n1 takes over, receives the result of j-2 from m-1 and writes its final record. m-2 sends no
+  // heartbeat.
+  TestController& NextLeaderWritesOutcome() {
     store.ExpireLeases();
-    TestController& after = AddController("n1");
-    EXPECT_TRUE(after.TakeOver(now));
-    Heartbeat(after, *m1);
-    Heartbeat(after, *m1);
-    while (after.WriteOnce(now)) {
+    TestController& next_leader = AddController("n1");
+    EXPECT_TRUE(next_leader.TakeOver(now));
+    Heartbeat(next_leader, *worker1);
+    Heartbeat(next_leader, *worker1);
+    while (next_leader.WriteOnce(now)) {
     }
-    EXPECT_EQ(after.State("j-2"), "done");
-    return after;
+    EXPECT_EQ(next_leader.State("j-2"), "done");
+    return next_leader;
   }
 
-  FakeWorker* m1 = nullptr;
-  FakeWorker* m2 = nullptr;
+  FakeWorker* worker1 = nullptr;
+  FakeWorker* worker2 = nullptr;
 };
 
-// A page that nobody needs is dropped, and the answer is lost. The leader took its repeat's
-// conflict for a refusal, kept the page in its books with a stamp that no key has, and
-// chose it for the next bindings, which were refused for ever.
-TEST_F(LateWriteTest, DeletionWithoutAResponseIsKnownToHaveCommitted) {
+// The response to the deletion of an unused page is lost. The leader took the conflict of the retry
+// for a rejection, kept the page in memory with a revision that no key has, and chose it for the
+// next bindings, whose writes were then rejected forever.
+TEST_F(LateWriteTest, UnansweredDeletionIsFoundCommitted) {
   for (const auto fault : {FakeStore::Fault::kLoseResponse, FakeStore::Fault::kCommitLate,
                            FakeStore::Fault::kRefuse}) {
     store = FakeStore{};
     controllers_.clear();
     workers_.clear();
     now = {100};
-    Transaction old;
-    for (int i = 1; i <= 8; ++i)  // records of a job that is over
-      old.changes.push_back({"p/" + std::to_string(i),
-                             Json{{"jobs", {{"j-9", Json::array({Json::array({0, 1, 1})})}}}},
-                             std::nullopt});
-    ASSERT_EQ(store.Commit(old).status, StoreStatus::kOk);
+    Transaction old_records;
+    for (int i = 1; i <= 8; ++i)  // records of a final job
+      old_records.changes.push_back(
+          {"p/" + std::to_string(i),
+           Json{{"jobs", {{"j-9", Json::array({Json::array({0, 1, 1})})}}}}, std::nullopt});
+    ASSERT_EQ(store.Commit(old_records).status, StoreStatus::kOk);
     AddWorker("m-1", "large");
     TestController& node = AddController("n0");
     ASSERT_TRUE(node.TakeOver(now));
@@ -75,7 +76,7 @@
       store.next_commit = FakeStore::Fault::kNone;
       while (store.has_delayed_transactions()) store.DeliverDelayed();
     }
-    EXPECT_LE(writes, 8) << "each page is dropped once";
+    EXPECT_LE(writes, 8) << "a page was dropped more than once";
     EXPECT_LE(store.Range("p/", "", 100).entries.size(), 4U);
     ASSERT_EQ(Submit(node, MakeJob("j-1", 3)), 201);
     node.ReadJobs();
@@ -87,99 +88,102 @@
   }
 }
 
-// A leader's transaction ends one job and binds a task of another; it never arrives, and its
-// sender is cut off. The next leader ends the same job with the same record. Back in touch,
-// the old leader took that for its own writing and started the task, which the next leader
-// had bound elsewhere: found on days/limit-cut-thrissur.toml.
-TEST_F(LateWriteTest, OutcomeWrittenByTheNextLeaderIsNotOurs) {
-  const auto [before, plan] = AnEndAndABinding();
-  TestController& after = NextWritesTheEnd();
-  // The first try was sent and had no answer, nor did it arrive.
+// A leader's transaction writes a final record and binds a task of another job. It does not arrive,
+// and the leader is partitioned. The next leader writes an identical final record. After the
+// partition, the old leader took this record for its own and started the task, which the next
+// leader had bound to another machine (found by days/limit-cut-thrissur.toml).
+TEST_F(LateWriteTest, OutcomeWrittenByNextLeaderIsNotAttributedToOldLeader) {
+  const auto [old_leader, batch] = PrepareOutcomeAndBinding();
+  TestController& next_leader = NextLeaderWritesOutcome();
+  // The first attempt is unanswered and delayed.
   store.next_commit = FakeStore::Fault::kCommitLate;
-  const WriteOutcome outcome = before->Finish(plan, now);
-  EXPECT_EQ(outcome.status, WriteOutcome::Status::kUnknown) << "it may have landed while n0 led";
+  const WriteOutcome outcome = old_leader->Finish(batch, now);
+  EXPECT_EQ(outcome.status, WriteOutcome::Status::kUnknown)
+      << "the write may have committed while n0 led";
   EXPECT_TRUE(outcome.deposed);
-  EXPECT_FALSE(before->core.leading());
-  EXPECT_FALSE(before->core.NextDirectCommand(now)) << "nothing is durable that it could start";
-  FakeWorker& m3 = AddWorker("m-3", "small");
+  EXPECT_FALSE(old_leader->core.leading());
+  EXPECT_FALSE(old_leader->core.NextDirectCommand(now)) << "no durable binding to start";
+  FakeWorker& worker3 = AddWorker("m-3", "small");
   for (int i = 0; i < 3; ++i) {
-    Heartbeat(after, m3);
-    after.core.Tick(now, wall);
-    while (after.WriteOnce(now)) {
+    Heartbeat(next_leader, worker3);
+    next_leader.core.Tick(now, wall);
+    while (next_leader.WriteOnce(now)) {
     }
-    m2->Deliver(before->core.OnHeartbeat(m2->Snapshot(), now));
+    worker2->Deliver(old_leader->core.OnHeartbeat(worker2->Snapshot(), now));
     EXPECT_LE(CountLiveTasks(), 1U);
   }
 }
 
-// An old event brought back a job that an earlier write had made final. Its end, made once more
-// along with a binding, was refused, and that answer was lost: the end that stood there passed for
-// a proof that the binding had landed. Found by a seed of the sweep, which called the books stale.
-TEST_F(LateWriteTest, OutcomeThatExistedBeforeProvesNothingOfTheBatch) {
-  const auto [before, plan] = AnEndAndABinding();
-  const Json end = records::ToJson(records::FinalRecord{JobOutcome::kDone, 1});
-  ASSERT_EQ(store.Commit({{}, {{"f/j-2", end, std::nullopt}}}).status, StoreStatus::kOk);
+// A delayed event restored a job in memory that an earlier write had made final. A batch with its
+// final record and a binding was rejected, and the response was lost. The existing final record was
+// taken as proof that the binding was durable (found by a seed of the sweep).
+TEST_F(LateWriteTest, ExistingOutcomeDoesNotProveBatchCommitted) {
+  const auto [old_leader, batch] = PrepareOutcomeAndBinding();
+  const Json final_record = records::ToJson(records::FinalRecord{JobOutcome::kDone, 1});
+  ASSERT_EQ(store.Commit({{}, {{"f/j-2", final_record, std::nullopt}}}).status, StoreStatus::kOk);
   store.next_commit = FakeStore::Fault::kLoseResponse;
-  EXPECT_EQ(before->Finish(plan, now).status, WriteOutcome::Status::kRejected);
-  EXPECT_FALSE(before->core.NextDirectCommand(now)) << "no binding is durable that it could start";
+  EXPECT_EQ(old_leader->Finish(batch, now).status, WriteOutcome::Status::kRejected);
+  EXPECT_FALSE(old_leader->core.NextDirectCommand(now)) << "the binding is not durable";
 }
 
-// The same where the lead is lost between the conflict and the look at what stands there.
-TEST_F(LateWriteTest, StoredRecordIsOursOnlyWhileWeLead) {
-  const auto [before, plan] = AnEndAndABinding();
-  // A user cancels j-3 meanwhile, so the repeat finds a conflict though nobody else leads yet.
-  ASSERT_EQ(before->api.Cancel("j-3").status, 200);
+// The leadership is lost between the conflict and the read-back, in which the next leader's final
+// record must not be taken for the old leader's.
+TEST_F(LateWriteTest, StoredRecordIsAttributedOnlyWhileLeading) {
+  const auto [old_leader, batch] = PrepareOutcomeAndBinding();
+  // A user cancels j-3 meanwhile, so the retry conflicts although n0 still leads.
+  ASSERT_EQ(old_leader->api.Cancel("j-3").status, 200);
   store.next_commit = FakeStore::Fault::kCommitLate;
-  store.before_get = [&] { NextWritesTheEnd(); };
-  EXPECT_EQ(before->Finish(plan, now).status, WriteOutcome::Status::kUnknown);
-  EXPECT_FALSE(before->core.leading());
-  EXPECT_FALSE(before->core.NextDirectCommand(now));
+  store.before_get = [&] { NextLeaderWritesOutcome(); };
+  EXPECT_EQ(old_leader->Finish(batch, now).status, WriteOutcome::Status::kUnknown);
+  EXPECT_FALSE(old_leader->core.leading());
+  EXPECT_FALSE(old_leader->core.NextDirectCommand(now));
 }
 
-// The write landed, its answer was lost, and its repeat met a conflict that named the page alone.
-// Before that could be read back the leader was cut off for so long that another took over and
-// wrote the page. Judged by the conflict of before, the write passed for one that had never landed:
-// the former leader took its bindings and ends back and went on commanding workers by its books.
-TEST_F(LateWriteTest, SuccessorsPageDoesNotProveThatOurWriteFailed) {
-  const auto [before, plan] = AnEndAndABinding();
+// A write commits, its response is lost, and the retry conflicts on the page only. Before the page
+// is read back, another controller takes over and writes it. Without a second check of the
+// leadership, the former leader concluded that its write had not been carried out, reverted its
+// bindings and results in memory, and kept commanding workers by that state.
+TEST_F(LateWriteTest, SuccessorPageDoesNotProveWriteFailed) {
+  const auto [old_leader, batch] = PrepareOutcomeAndBinding();
   store.next_commit = FakeStore::Fault::kLoseResponse;
   store.before_get = [&] {
-    TestController& after = NextWritesTheEnd();
-    Run(after, MakeJob("j-4"));
-    Settle(after);
+    TestController& next_leader = NextLeaderWritesOutcome();
+    Run(next_leader, MakeJob("j-4"));
+    Settle(next_leader);
   };
-  const WriteOutcome outcome = before->Finish(plan, now);
+  const WriteOutcome outcome = old_leader->Finish(batch, now);
   EXPECT_EQ(outcome.status, WriteOutcome::Status::kUnknown);
   EXPECT_TRUE(outcome.deposed);
-  EXPECT_FALSE(outcome.stale) << "its books were right until it was deposed";
-  EXPECT_FALSE(before->core.leading()) << "it commands nobody";
+  EXPECT_FALSE(outcome.stale) << "its state was correct until it was deposed";
+  EXPECT_FALSE(old_leader->core.leading()) << "a deposed leader must not command workers";
 }
 
-// The same without a successor: what was written is found to be ours.
-TEST_F(LateWriteTest, WriteWithoutAResponseIsReadBackWhileWeLead) {
-  const auto [before, plan] = AnEndAndABinding();
+// Without a successor, the read-back finds that the write was carried out.
+TEST_F(LateWriteTest, UnansweredWriteIsReadBackWhileLeading) {
+  const auto [old_leader, batch] = PrepareOutcomeAndBinding();
   store.next_commit = FakeStore::Fault::kLoseResponse;
-  EXPECT_EQ(before->Finish(plan, now).status, WriteOutcome::Status::kWritten);
-  EXPECT_TRUE(before->core.NextDirectCommand(now)) << "j-3 is started";
+  EXPECT_EQ(old_leader->Finish(batch, now).status, WriteOutcome::Status::kWritten);
+  EXPECT_TRUE(old_leader->core.NextDirectCommand(now)) << "no command to start j-3";
 }
 
-// Every write of a day in turn lands 2 to 12 s late or with its answer lost: of the
-// leader, of submissions and cancellations and of elections. Nothing is applied twice.
-TEST(LateWriteSweepTest, EachWriteInTurnCommitsLate) {
+// Each write in turn, by the leader, a submission, a cancellation or an election, commits 2 to 12 s
+// late or loses its response. No write is applied twice.
+TEST(LateWriteSweepTest, EachWriteCommitsLate) {
   for (const auto fault : {FakeStore::Fault::kCommitLate, FakeStore::Fault::kLoseResponse})
-    for (int at = 0; at < 60; ++at) {
-      SCOPED_TRACE(std::to_string(at));
+    for (int fault_index = 0; fault_index < 60; ++fault_index) {
+      SCOPED_TRACE(std::to_string(fault_index));
       SimulatedCluster cluster;
-      int left = at;
+      int commits_until_fault = fault_index;
       const auto step = [&](int seconds) {
         for (int i = 0; i < seconds; ++i) {
-          const int before = cluster.store.commits;
-          if (left == 0) {
+          const int commits_before = cluster.store.commits;
+          if (commits_until_fault == 0) {
             cluster.store.next_commit = fault;
-            cluster.late_writes.push_back(cluster.now + Seconds{2.0 + at % 11});
+            cluster.late_writes.push_back(cluster.now + Seconds{2.0 + fault_index % 11});
           }
           cluster.StepOneSecond();
-          left -= cluster.store.commits - before + (left == 0 ? 1 : 0);
+          commits_until_fault -=
+              cluster.store.commits - commits_before + (commits_until_fault == 0 ? 1 : 0);
         }
       };
       step(3);
@@ -189,10 +193,10 @@
           step(1);
         }
       step(6);
-      for (auto& m : cluster.machines) {
+      for (auto& machine : cluster.machines) {
         const TaskId task{{"j-3"}, 0};
-        if (!m.worker.HasLiveTask(task)) continue;
-        m.worker.End(task, ExitReason::kDone);
+        if (!machine.worker.HasLiveTask(task)) continue;
+        machine.worker.End(task, ExitReason::kDone);
         cluster.completed.insert(task);
       }
       for (int i = 0; i < 12 && !cluster.acknowledged_cancellations.contains("j-1"); ++i) {
@@ -210,7 +214,7 @@
       EXPECT_EQ(cluster.LiveTasks("j-2"), 2U);
       EXPECT_EQ(cluster.LiveTasks("j-3"), 1U);
       EXPECT_EQ(cluster.Poll("j-3", "n0"), "running");
-      EXPECT_EQ(cluster.stale_batches, 0) << "its books agree with what it wrote";
+      EXPECT_EQ(cluster.stale_batches, 0) << "the leader's state differs from the records";
       EXPECT_EQ(cluster.violations, std::set<std::string>{});
     }
 }
