--- a/tests/leader_health_test.cc
+++ b/tests/leader_health_test.cc
@@ -1,4 +1,4 @@
-// A leader that no worker reaches, though others do, leaves the lead to one of them.
+// A leader that no worker reaches, while workers reach its peers, resigns in favour of a peer.
 #include "election/leader_health.h"
 
 #include "test_cluster.h"
@@ -9,68 +9,70 @@
 class LeaderHealthTest : public ::testing::Test {
  protected:
   LeaderHealthTest() { leader_health.OnElected(now); }
-  // Reports of other machines are passed on for a while, some a second.
-  void PassOn(double seconds, int per_task = 10) {
+  // Relays heartbeats of different machines every 0.1 s for the given time.
+  void RelayHeartbeats(double seconds, int machines_per_step = 10) {
     for (const Instant end = now + Seconds{seconds}; now < end; now = now + Seconds{0.1})
-      for (int i = 0; i < per_task; ++i)
-        leader_health.OnRelayedHeartbeat({"m-" + std::to_string(++machine_ % kMachines)}, now);
+      for (int i = 0; i < machines_per_step; ++i)
+        leader_health.OnRelayedHeartbeat({"m-" + std::to_string(++next_machine_ % kMachines)}, now);
   }
-  bool Leaves() { return leader_health.ShouldResign(kMachines, now); }
+  bool LeaderShouldResign() { return leader_health.ShouldResign(kMachines, now); }
 
   static constexpr std::size_t kMachines = 100;
   LeaderHealth leader_health{Seconds{10}};
   Instant now{100};
 
  private:
-  int machine_ = 0;
+  int next_machine_ = 0;
 };
 
-TEST_F(LeaderHealthTest, ResignsWhenWorkersReachOnlyOthers) {
+TEST_F(LeaderHealthTest, ResignsWhenWorkersReachOnlyPeers) {
   now = now + Seconds{60};
   leader_health.OnDirectContact(now);
-  PassOn(1);
-  EXPECT_FALSE(Leaves()) << "it may be chance";
-  PassOn(3);
-  EXPECT_TRUE(Leaves());
+  RelayHeartbeats(1);
+  EXPECT_FALSE(LeaderShouldResign()) << "one second may be chance";
+  RelayHeartbeats(3);
+  EXPECT_TRUE(LeaderShouldResign());
   leader_health.OnDirectContact(now);
-  PassOn(1);
-  EXPECT_FALSE(Leaves()) << "one got through";
+  RelayHeartbeats(1);
+  EXPECT_FALSE(LeaderShouldResign()) << "a worker reached the leader directly";
 }
 
-TEST_F(LeaderHealthTest, SilenceOrAFewWorkersAreNoReasonToResign) {
+TEST_F(LeaderHealthTest, KeepsLeadershipWithFewOrNoRelays) {
   now = now + Seconds{300};
-  EXPECT_FALSE(Leaves()) << "nobody is known to reach more";
+  EXPECT_FALSE(LeaderShouldResign()) << "no peer is known to reach more workers";
   for (int i = 0; i < 5; ++i) leader_health.OnRelayedHeartbeat({"m-" + std::to_string(i)}, now);
-  EXPECT_FALSE(Leaves()) << "they may be cut off from us alone";
+  EXPECT_FALSE(LeaderShouldResign()) << "a few machines may be cut off from this controller only";
 }
 
-TEST_F(LeaderHealthTest, WaitsForWorkersAfterATakeover) {
-  PassOn(10);
-  EXPECT_FALSE(Leaves());
+TEST_F(LeaderHealthTest, WaitsForWorkersAfterTakeover) {
+  RelayHeartbeats(10);
+  EXPECT_FALSE(LeaderShouldResign());
 }
 
 TEST_F(LeaderHealthTest, LeadershipDoesNotFlap) {
   now = now + Seconds{60};
-  PassOn(4);
-  ASSERT_TRUE(Leaves());
+  RelayHeartbeats(4);
+  ASSERT_TRUE(LeaderShouldResign());
   leader_health.OnResigned(now);
-  const Instant left = now;
-  EXPECT_FALSE(leader_health.MayCampaign(left, now + Seconds{2})) << "others take it";
-  EXPECT_TRUE(leader_health.MayCampaign(left, now + Seconds{4})) << "nobody does";
+  const Instant resigned_at = now;
+  EXPECT_FALSE(leader_health.MayCampaign(resigned_at, now + Seconds{2}))
+      << "peers have time to campaign";
+  EXPECT_TRUE(leader_health.MayCampaign(resigned_at, now + Seconds{4}))
+      << "no peer became the leader";
   leader_health.OnElected(now);
-  PassOn(20);
-  EXPECT_FALSE(Leaves()) << "it was round once: this is the best there is";
-  PassOn(20);
-  ASSERT_TRUE(Leaves());
+  RelayHeartbeats(20);
+  EXPECT_FALSE(LeaderShouldResign()) << "re-elected: no peer reaches more workers";
+  RelayHeartbeats(20);
+  ASSERT_TRUE(LeaderShouldResign());
   leader_health.OnResigned(now);
-  EXPECT_FALSE(leader_health.MayCampaign(now + Seconds{54}, now + Seconds{55})) << "for longer now";
+  EXPECT_FALSE(leader_health.MayCampaign(now + Seconds{54}, now + Seconds{55}))
+      << "the interval doubles";
 }
 
 class LeaderResignationTest : public ClusterTest {};
 
-// In the world: the lead is given up by a write of its own, and a late copy of it takes
-// the lead from nobody.
-TEST_F(LeaderResignationTest, AnotherLeadsAtOnceWhenTheLeaderResigns) {
+// Resigning deletes the leader key. A delayed copy of that write must not depose the next leader.
+TEST_F(LeaderResignationTest, PeerTakesOverAtOnceWhenLeaderResigns) {
   TestController& first = AddController("n0");
   TestController& second = AddController("n1");
   ASSERT_TRUE(first.TakeOver(now));
@@ -86,7 +88,7 @@
   EXPECT_TRUE(second.election.view().leadership);
   store.ExpireLeases();
   first.election.Step(true);
-  EXPECT_TRUE(first.election.view().leadership) << "nobody else did";
+  EXPECT_TRUE(first.election.view().leadership) << "the leases of both have expired";
 }
 
 }  // namespace
--- a/tests/leader_reload_test.cc
+++ b/tests/leader_reload_test.cc
@@ -1,4 +1,4 @@
-// A leader whose view of the records is wrong or incomplete reads them anew and loses nothing.
+// A leader whose view of the records is wrong or incomplete reads them again and loses none.
 #include <gtest/gtest.h>
 
 #include "simulated_cluster.h"
@@ -6,7 +6,7 @@
 namespace magpie::testing {
 namespace {
 
-// Whatever made the leader's books of its pages wrong, it reads them anew and goes on.
+// Record pages change without the leader's knowledge: it detects this, reloads and keeps leading.
 TEST(LeaderReloadTest, LeaderWithStaleStateReloads) {
   SimulatedCluster cluster;
   cluster.AdvanceSeconds(3);
@@ -15,7 +15,7 @@
   ASSERT_EQ(cluster.LiveTasks("j-1"), 2U);
   const auto pages = cluster.store.Range("p/", "", 10).entries;
   ASSERT_FALSE(pages.empty());
-  for (const StoreEntry& page : pages)  // as nobody ever should
+  for (const StoreEntry& page : pages)  // simulates a write that no controller should make
     cluster.store.Commit({{{page.key, page.revision}}, {{page.key, page.value, std::nullopt}}});
   ASSERT_TRUE(cluster.Submit("j-2", 2, "n1"));
   cluster.AdvanceSeconds(8);
@@ -26,36 +26,36 @@
   EXPECT_EQ(cluster.violations, std::set<std::string>{});
 }
 
-// A new leader's read of the records fails in the middle or at its end, and is repeated. Over what
-// the first had brought, each page stood in the books twice, the second time with no live records,
-// and was overwritten as if it were empty: the next leader knew nothing of what ran.
-TEST(LeaderReloadTest, RepeatedReadOfTheRecordsLosesNone) {
-  for (int at = 0; at < 14; ++at) {
-    SCOPED_TRACE(at);
+// A new leader's read of the records fails in the middle or at its end and is repeated. The repeat
+// was added to the state of the first read: each page was registered twice, the second time without
+// live records, and was overwritten as if empty, so the next leader lost the running tasks.
+TEST(LeaderReloadTest, RepeatedRecordReadLosesNoRecords) {
+  for (int lost_call = 0; lost_call < 14; ++lost_call) {
+    SCOPED_TRACE(lost_call);
     SimulatedCluster cluster;
     cluster.AdvanceSeconds(3);
     ASSERT_TRUE(cluster.Submit("j-1", 2, "n1"));
     cluster.AdvanceSeconds(6);
     ASSERT_EQ(cluster.LiveTasks("j-1"), 2U);
-    const auto lead_ends = [&cluster] {
+    const auto restart_leader = [&cluster] {
       const std::string leader = cluster.Leader();
       cluster.StopController(leader);
       cluster.StartController(leader);
     };
-    // One answer is lost: a different one each time.
-    int left = at;
-    cluster.inject_fault = [&left](const std::string&, bool) {
-      InjectedFault fate;
-      fate.response_lost = left-- == 0;
-      return fate;
+    // Loses one response, a different one in each iteration.
+    int calls_left = lost_call;
+    cluster.inject_fault = [&calls_left](const std::string&, bool) {
+      InjectedFault fault;
+      fault.response_lost = calls_left-- == 0;
+      return fault;
     };
-    lead_ends();
+    restart_leader();
     cluster.AdvanceSeconds(8);
     cluster.inject_fault = nullptr;
     ASSERT_TRUE(cluster.Submit("j-2", 2, "n1"));
     cluster.AdvanceSeconds(6);
     EXPECT_EQ(cluster.LiveTasks("j-2"), 2U);
-    lead_ends();
+    restart_leader();
     cluster.AdvanceSeconds(12);
     EXPECT_EQ(cluster.LiveTasks("j-1"), 2U);
     EXPECT_EQ(cluster.LiveTasks("j-2"), 2U);
--- a/tests/lost_answers_test.cc
+++ b/tests/lost_answers_test.cc
@@ -1,5 +1,5 @@
-// Answers of the state service that are lost, late or refused: how long a transaction waits,
-// how soon its outcome is known nevertheless, and how many requests that takes.
+// Lost, late and refused responses of the key-value store: the timeout of a transaction, the time
+// until its outcome is known, and the number of requests needed.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -16,126 +16,131 @@
 namespace magpie::testing {
 namespace {
 
-constexpr Seconds kMost{1.5};
-
-TEST(AnswerTimeoutTest, IsLearnedFromTheUsualLatencyWithinBounds) {
-  AnswerTimeout timeout({.minimum = {0.06}, .maximum = kMost, .quantile = 0.9, .factor = 3});
-  EXPECT_EQ(timeout.Limit(), kMost) << "nothing is known yet";
-  for (int i = 0; i < 100; ++i) timeout.TransactionAnswered({i % 25 == 0 ? 0.4 : 0.004});
-  EXPECT_NEAR(timeout.Limit().value, 0.06, 1e-6) << "one slow answer in 25 is not waited for";
-  for (int i = 0; i < 100; ++i) timeout.TransactionAnswered({0.06});
-  EXPECT_NEAR(timeout.Limit().value, 0.18, 0.011);
-  for (int i = 0; i < 100; ++i) timeout.TransactionAnswered({1});
-  EXPECT_EQ(timeout.Limit(), kMost);
+constexpr Seconds kMaxTimeout{1.5};
+
+TEST(AnswerTimeoutTest, FollowsTypicalLatencyWithinBounds) {
+  AnswerTimeout timeout({.minimum = {0.06}, .maximum = kMaxTimeout, .quantile = 0.9, .factor = 3});
+  EXPECT_EQ(timeout.Current(), kMaxTimeout) << "no latencies measured yet";
+  for (int i = 0; i < 100; ++i) timeout.OnTransactionAnswered({i % 25 == 0 ? 0.4 : 0.004});
+  EXPECT_NEAR(timeout.Current().value, 0.06, 1e-6)
+      << "one slow response in 25 must not raise the timeout";
+  for (int i = 0; i < 100; ++i) timeout.OnTransactionAnswered({0.06});
+  EXPECT_NEAR(timeout.Current().value, 0.18, 0.011);
+  for (int i = 0; i < 100; ++i) timeout.OnTransactionAnswered({1});
+  EXPECT_EQ(timeout.Current(), kMaxTimeout);
 }
 
-// No transaction would ever be waited for long enough to tell it.
-TEST(AnswerTimeoutTest, AdaptsToASlowServiceFromReads) {
-  AnswerTimeout timeout({.maximum = kMost});
-  for (int i = 0; i < 40; ++i) timeout.TransactionAnswered({0.004});
+// All transactions time out, so their latencies cannot show that the store has become slow.
+TEST(AnswerTimeoutTest, AdaptsToSlowStoreFromReads) {
+  AnswerTimeout timeout({.maximum = kMaxTimeout});
+  for (int i = 0; i < 40; ++i) timeout.OnTransactionAnswered({0.004});
   for (int i = 0; i < 8; ++i) {
-    timeout.TransactionUnanswered();
-    timeout.ReadAnswered({0.1});
+    timeout.OnTransactionUnanswered();
+    timeout.OnReadAnswered({0.1});
   }
-  EXPECT_GE(timeout.Limit(), Seconds{0.3});
+  EXPECT_GE(timeout.Current(), Seconds{0.3});
 }
 
-TEST(AnswerTimeoutTest, DoublesWhenMoreThanChanceStaysUnanswered) {
-  AnswerTimeout timeout({.minimum = {0.06}, .maximum = kMost});
-  for (int i = 0; i < 8; ++i) timeout.TransactionAnswered({0.004});
+TEST(AnswerTimeoutTest, DoublesAfterConsecutiveUnansweredTransactions) {
+  AnswerTimeout timeout({.minimum = {0.06}, .maximum = kMaxTimeout});
+  for (int i = 0; i < 8; ++i) timeout.OnTransactionAnswered({0.004});
   for (const double expected : {0.06, 0.06, 0.06, 0.12, 0.24, 0.48, 0.96, 1.5, 1.5}) {
-    EXPECT_NEAR(timeout.Limit().value, expected, 0.011);
-    timeout.TransactionUnanswered();
+    EXPECT_NEAR(timeout.Current().value, expected, 0.011);
+    timeout.OnTransactionUnanswered();
   }
-  timeout.TransactionAnswered({0.004});
-  EXPECT_NEAR(timeout.Limit().value, 0.06, 1e-6);
+  timeout.OnTransactionAnswered({0.004});
+  EXPECT_NEAR(timeout.Current().value, 0.06, 1e-6);
 }
 
-struct Weather {
+struct StoreConditions {
   const char* name;
-  double lost = 0;         // share of transactions that are carried out, the answer lost
-  double late = 0;         // share that is carried out later, without an answer
-  double refused = 0;      // share that gets 429
+  double lost = 0;         // fraction of transactions carried out with a lost response
+  double late = 0;         // fraction carried out later, without a response
+  double refused = 0;      // fraction refused with 429
   double latency = 0.004;  // seconds
-  double in_time = 0;      // least share of submissions durable within 0.2 s
-  double requests = 0;     // most requests a second
+  double in_time = 0;      // minimum fraction of submissions durable within 0.2 s
+  double requests = 0;     // maximum number of requests per second
 };
 
-std::ostream& operator<<(std::ostream& out, const Weather& weather) { return out << weather.name; }
+std::ostream& operator<<(std::ostream& out, const StoreConditions& conditions) {
+  return out << conditions.name;
+}
 
-// Each call takes its time on a clock of its own and is waited for as HttpKeyValueStore does.
-class WeatherStore : public FakeStore {
+// A store with simulated latency on the test's clock and the timeouts of HttpKeyValueStore.
+class UnreliableStore : public FakeStore {
  public:
-  WeatherStore(const Weather& weather, Instant& now) : weather_(weather), now_(now) {}
+  UnreliableStore(const StoreConditions& conditions, Instant& now)
+      : conditions_(conditions), now_(now) {}
 
   GetResult Get(const std::string& key) override {
     ++requests;
-    AdvanceTime({weather_.latency});
-    timeout_.ReadAnswered({weather_.latency});
+    AdvanceTime({conditions_.latency});
+    timeout_.OnReadAnswered({conditions_.latency});
     return FakeStore::Get(key);
   }
 
   TransactionResult Commit(const Transaction& txn) override {
     ++requests;
-    const Seconds limit = timeout_.Limit();
+    const Seconds limit = timeout_.Current();
     std::uniform_real_distribution<double> draw(0, 1);
     const double drawn = draw(random_);
-    if (drawn < weather_.refused) {
-      AdvanceTime({weather_.latency});
+    if (drawn < conditions_.refused) {
+      AdvanceTime({conditions_.latency});
       return {StoreStatus::kRefused, {}, {}, true};
     }
-    const double unanswered = drawn - weather_.refused;
-    const bool slow = weather_.latency > limit.value;
-    if (unanswered < weather_.lost + weather_.late || slow) {
-      next_commit = unanswered < weather_.lost || slow ? Fault::kLoseResponse : Fault::kCommitLate;
+    const double unanswered = drawn - conditions_.refused;
+    const bool slow = conditions_.latency > limit.value;
+    if (unanswered < conditions_.lost + conditions_.late || slow) {
+      next_commit =
+          unanswered < conditions_.lost || slow ? Fault::kLoseResponse : Fault::kCommitLate;
       AdvanceTime(limit);
-      timeout_.TransactionUnanswered();
+      timeout_.OnTransactionUnanswered();
       return FakeStore::Commit(txn);
     }
-    AdvanceTime({weather_.latency});
-    timeout_.TransactionAnswered({weather_.latency});
+    AdvanceTime({conditions_.latency});
+    timeout_.OnTransactionAnswered({conditions_.latency});
     return FakeStore::Commit(txn);
   }
 
   int requests = 0;
 
  private:
-  void AdvanceTime(Seconds s) { now_ = now_ + s; }
+  void AdvanceTime(Seconds delay) { now_ = now_ + delay; }
 
-  Weather weather_;
+  StoreConditions conditions_;
   Instant& now_;
-  AnswerTimeout timeout_{{.maximum = kMost}};
+  AnswerTimeout timeout_{{.maximum = kMaxTimeout}};
   std::minstd_rand random_{391};
 };
 
-class LostSubmissionAnswersTest : public ::testing::TestWithParam<Weather> {};
+class LostSubmissionAnswersTest : public ::testing::TestWithParam<StoreConditions> {};
 
-TEST_P(LostSubmissionAnswersTest, SubmissionsAreDurableInTimeWithoutARetryStorm) {
-  ThreadRandom().seed(1);  // the pauses, too, are the same every time
+TEST_P(LostSubmissionAnswersTest, SubmissionsAreDurableInTimeWithoutRetryStorm) {
+  ThreadRandom().seed(1);  // makes the backoff deterministic
   constexpr int kJobs = 400;
   Instant now{100};
-  WeatherStore store(GetParam(), now);
+  UnreliableStore store(GetParam(), now);
   SubmissionBatcher submissions(store, {.rate_limit = {.maximum = 25, .initial = 0.5}},
-                                {[&] { return now; }, [&](Seconds s) { now = now + s; }});
-  for (int i = 0; i < 20; ++i) store.Get("warm");  // what membership and polls have asked
+                                {[&] { return now; }, [&](Seconds delay) { now = now + delay; }});
+  for (int i = 0; i < 20; ++i) store.Get("warm");  // earlier reads, as by the election and by polls
   store.requests = 0;
   const Instant begin = now;
   int in_time = 0;
   std::map<std::string, Revision> accepted;
   for (int i = 0; i < kJobs; ++i) {
     const std::string id = "j-" + std::to_string(i);
-    const Instant asked = now;
+    const Instant submitted_at = now;
     const SubmissionBatcher::Status status = submissions.Submit(MakeJob(id)).status;
-    const bool taken = status == SubmissionBatcher::Status::kAccepted ||
-                       status == SubmissionBatcher::Status::kAlreadyExists;
-    if (taken) {
+    const bool durable = status == SubmissionBatcher::Status::kAccepted ||
+                         status == SubmissionBatcher::Status::kAlreadyExists;
+    if (durable) {
       const std::string key = records::JobKey({id});
       const std::optional<StoreEntry> entry = store.FakeStore::Get(key).entry;
       ASSERT_TRUE(entry) << "not durable: " << key;
       accepted[key] = entry->revision;
     }
-    if (taken && now - asked <= Seconds{0.2}) ++in_time;
-    now = std::max(now, asked + Seconds{0.2});
+    if (durable && now - submitted_at <= Seconds{0.2}) ++in_time;
+    now = std::max(now, submitted_at + Seconds{0.2});
   }
   EXPECT_GE(in_time, GetParam().in_time * kJobs);
   EXPECT_LE(store.requests, GetParam().requests * (now - begin).value);
@@ -145,24 +150,25 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Weathers, LostSubmissionAnswersTest,
-    ::testing::Values(Weather{.name = "Calm", .in_time = 1, .requests = 5.1},
-                      Weather{.name = "HalfLost", .lost = 0.5, .in_time = 0.95, .requests = 10},
-                      Weather{.name = "HalfLate", .late = 0.5, .in_time = 0.8, .requests = 18},
-                      Weather{.name = "Slow", .latency = 0.08, .in_time = 0.95, .requests = 8},
-                      Weather{.name = "SlowAndLost", .lost = 0.5, .latency = 0.08, .requests = 10},
-                      Weather{.name = "Refused", .refused = 0.3, .in_time = 0.4, .requests = 12},
-                      Weather{.name = "AllLost", .lost = 1, .requests = 12}),
+    SimulatedStore, LostSubmissionAnswersTest,
+    ::testing::Values(
+        StoreConditions{.name = "Calm", .in_time = 1, .requests = 5.1},
+        StoreConditions{.name = "HalfLost", .lost = 0.5, .in_time = 0.95, .requests = 10},
+        StoreConditions{.name = "HalfLate", .late = 0.5, .in_time = 0.8, .requests = 18},
+        StoreConditions{.name = "Slow", .latency = 0.08, .in_time = 0.95, .requests = 8},
+        StoreConditions{.name = "SlowAndLost", .lost = 0.5, .latency = 0.08, .requests = 10},
+        StoreConditions{.name = "Refused", .refused = 0.3, .in_time = 0.4, .requests = 12},
+        StoreConditions{.name = "AllLost", .lost = 1, .requests = 12}),
     [](const auto& info) { return std::string(info.param.name); });
 
-class LostBatchAnswersTest : public ::testing::TestWithParam<Weather> {};
+class LostBatchAnswersTest : public ::testing::TestWithParam<StoreConditions> {};
 
-// A write with its one writer is over soon, and told as written though no answer said so.
-TEST_P(LostBatchAnswersTest, WritesAreKnownToBeDurableSoon) {
+// A write's outcome is soon known to be kWritten, even without a response.
+TEST_P(LostBatchAnswersTest, WriteOutcomesAreKnownSoon) {
   ThreadRandom().seed(1);
   constexpr int kWrites = 200;
   Instant now{100};
-  WeatherStore store(GetParam(), now);
+  UnreliableStore store(GetParam(), now);
   store.FakeStore::Commit({{}, {{records::kLeaderKey, Json("x"), std::nullopt}}});
   const Revision leader = store.current_revision();
   store.FakeStore::Commit({{}, {{records::kEpochKey, Json("x"), std::nullopt}}});
@@ -171,26 +177,28 @@
   store.requests = 0;
   const Instant begin = now;
   for (int i = 0; i < kWrites; ++i) {
-    WriteBatch plan;
-    WriteBatch::Final& final = plan.finals.emplace_back();
+    WriteBatch batch;
+    WriteBatch::Final& final = batch.finals.emplace_back();
     final.job = {"j-" + std::to_string(i)};
     final.tasks = 1;
-    WriteBatchCommitter writer(store, {[] { return true; }, [&](Seconds s) { now = now + s; }});
-    const WriteOutcome outcome = writer.Write(plan, leadership);
+    WriteBatchCommitter writer(store,
+                               {[] { return true; }, [&](Seconds delay) { now = now + delay; }});
+    const WriteOutcome outcome = writer.Write(batch, leadership);
     ASSERT_EQ(outcome.status, WriteOutcome::Status::kWritten);
     EXPECT_EQ(store.FakeStore::Get(records::FinalKey({"j-" + std::to_string(i)})).entry->revision,
               outcome.revision);
   }
-  EXPECT_LE((now - begin).value / kWrites, GetParam().in_time) << "seconds for each write";
+  EXPECT_LE((now - begin).value / kWrites, GetParam().in_time) << "seconds per write";
   EXPECT_LE(store.requests, GetParam().requests * (now - begin).value);
 }
 
-// Here `in_time` is the most that a write may take on the average, in seconds.
+// In this suite `in_time` is the maximum average duration of a write in seconds.
 INSTANTIATE_TEST_SUITE_P(
-    Weathers, LostBatchAnswersTest,
-    ::testing::Values(Weather{.name = "HalfLost", .lost = 0.5, .in_time = 0.3, .requests = 40},
-                      Weather{.name = "HalfLate", .late = 0.5, .in_time = 0.6, .requests = 40},
-                      Weather{.name = "Slow", .latency = 0.08, .in_time = 0.2, .requests = 13}),
+    SimulatedStore, LostBatchAnswersTest,
+    ::testing::Values(
+        StoreConditions{.name = "HalfLost", .lost = 0.5, .in_time = 0.3, .requests = 40},
+        StoreConditions{.name = "HalfLate", .late = 0.5, .in_time = 0.6, .requests = 40},
+        StoreConditions{.name = "Slow", .latency = 0.08, .in_time = 0.2, .requests = 13}),
     [](const auto& info) { return std::string(info.param.name); });
 
 }  // namespace
--- a/tests/recording_store.h
+++ b/tests/recording_store.h
@@ -1,4 +1,4 @@
-// The state service in memory that also keeps each transaction as the protocol writes it.
+// An in-memory key-value store that records each transaction in its protocol encoding.
 #pragma once
 
 #include <string>
--- a/tests/slow_store_test.cc
+++ b/tests/slow_store_test.cc
@@ -6,35 +6,35 @@
 namespace magpie::testing {
 namespace {
 
-// A state service whose every answer takes its time, which the clock shows.
+// A key-value store that advances the test's clock by a fixed latency on each call.
 class SlowStore : public FakeStore {
  public:
-  SlowStore(Instant& now, Seconds per_task) : now_(now), each_(per_task) {}
-  GetResult Get(const std::string& key) override { return Later(FakeStore::Get(key)); }
+  SlowStore(Instant& now, Seconds latency) : now_(now), latency_(latency) {}
+  GetResult Get(const std::string& key) override { return AddLatency(FakeStore::Get(key)); }
   TransactionResult Commit(const Transaction& txn) override {
-    return Later(FakeStore::Commit(txn));
+    return AddLatency(FakeStore::Commit(txn));
   }
   WatchResult Watch(const std::string& prefix, Revision after, Seconds block) override {
-    return Later(FakeStore::Watch(prefix, after, block));
+    return AddLatency(FakeStore::Watch(prefix, after, block));
   }
 
  private:
   template <typename Result>
-  Result Later(Result result) {
-    now_ = now_ + each_;
+  Result AddLatency(Result result) {
+    now_ = now_ + latency_;
     return result;
   }
   Instant& now_;
-  Seconds each_;
+  Seconds latency_;
 };
 
-// A cancellation is answered while its user waits, 5 s, however slow; and whoever is told that
-// the job is cancelled is told so by every later question, through any controller.
-TEST(SlowStoreTest, CancellationIsAnsweredInTimeAndReadsStayMonotonic) {
-  for (const double per_task : {0.05, 0.2, 0.4, 0.9, 1.4}) {
-    SCOPED_TRACE(per_task);
+// A cancellation is answered within the user's timeout of 5 s, however slow the store. Once it is
+// acknowledged, every later query through any controller shows the job as cancelled.
+TEST(SlowStoreTest, CancellationIsAnsweredInTimeAndReadsAreMonotonic) {
+  for (const double latency : {0.05, 0.2, 0.4, 0.9, 1.4}) {
+    SCOPED_TRACE(latency);
     Instant now{100};
-    SlowStore store(now, {per_task});
+    SlowStore store(now, {latency});
     std::list<JobApi> nodes;
     const JobApi::Hooks hooks{[] { return SimulatedMachineTypes(); },
                               [](const JobId&) { return JobProgress{}; },
@@ -47,19 +47,19 @@
                          std::vector<std::string>{"a", "b"}, Seconds{0},
                          SubmissionBatcher::Options{}, hooks);
     ASSERT_EQ(nodes.front().Submit(protocol::JobToRecord(MakeJob("j-1")).dump()).status, 201);
-    bool told = false;
+    bool acknowledged = false;
     for (int i = 0; i < 8; ++i)
       for (JobApi& node : nodes) {
         const Instant begin = now;
         const HttpResponse answer = node.Cancel("j-1");
         EXPECT_LT(now - begin, Seconds{5});
-        told |= answer.status == 200;
-        if (!told) continue;
+        acknowledged |= answer.status == 200;
+        if (!acknowledged) continue;
         EXPECT_EQ(answer.status, 200);
         EXPECT_EQ(protocol::Json::parse(node.Query("j-1").body).at("mood").get<std::string>(),
                   "withdrawn");
       }
-    EXPECT_TRUE(told);
+    EXPECT_TRUE(acknowledged);
   }
 }
 
--- a/tests/takeover_test.cc
+++ b/tests/takeover_test.cc
@@ -1,4 +1,4 @@
-// What survives a change of leader, and what a deposed leader can no longer do.
+// State that survives a change of leader, and actions that a deposed leader can no longer take.
 #include <gtest/gtest.h>
 
 #include "test_cluster.h"
@@ -8,166 +8,168 @@
 
 class TakeoverTest : public ClusterTest {};
 
-TEST_F(TakeoverTest, AcceptedJobSurvivesAllControllers) {
+TEST_F(TakeoverTest, AcceptedJobSurvivesLossOfAllControllers) {
   {
-    TestController& first = AddController("n0");
-    ASSERT_EQ(Submit(first, MakeJob("j-1", 2)), 201);
+    TestController& first_leader = AddController("n0");
+    ASSERT_EQ(Submit(first_leader, MakeJob("j-1", 2)), 201);
   }
   controllers_.clear();
   store.ExpireLeases();
-  TestController& next = AddController("n1");
+  TestController& new_leader = AddController("n1");
   AddWorker("m-1");
-  ASSERT_TRUE(next.TakeOver(now));
-  Settle(next);
-  EXPECT_EQ(next.State("j-1"), "running");
+  ASSERT_TRUE(new_leader.TakeOver(now));
+  Settle(new_leader);
+  EXPECT_EQ(new_leader.State("j-1"), "running");
   workers_.front().EndAll(ExitReason::kDone);
-  Settle(next);
-  EXPECT_EQ(next.State("j-1"), "done");
-  EXPECT_EQ(workers_.front().ReportedTaskCount(), 0U)
-      << "ends are forgotten once they are recorded";
+  Settle(new_leader);
+  EXPECT_EQ(new_leader.State("j-1"), "done");
+  EXPECT_EQ(workers_.front().ReportedTaskCount(), 0U) << "the worker must forget recorded results";
 }
 
-TEST_F(TakeoverTest, RunningTasksAreFoundAgain) {
-  TestController& first = AddController("n0");
+TEST_F(TakeoverTest, RunningTasksAreReconciled) {
+  TestController& first_leader = AddController("n0");
   AddWorker("m-1");
-  ASSERT_TRUE(first.TakeOver(now));
-  Run(first, MakeJob("j-1", 2));
-  Settle(first);
+  ASSERT_TRUE(first_leader.TakeOver(now));
+  Run(first_leader, MakeJob("j-1", 2));
+  Settle(first_leader);
   ASSERT_EQ(CountLiveTasks(), 2U);
   store.ExpireLeases();
-  TestController& next = AddController("n1");
-  ASSERT_TRUE(next.TakeOver(now));
-  Settle(next);
+  TestController& new_leader = AddController("n1");
+  ASSERT_TRUE(new_leader.TakeOver(now));
+  Settle(new_leader);
   EXPECT_EQ(workers_.front().starts[TaskOf("j-1", 0)], 1);
   EXPECT_EQ(workers_.front().starts[TaskOf("j-1", 1)], 1);
   workers_.front().EndAll(ExitReason::kDone);
-  Settle(next);
-  EXPECT_EQ(next.State("j-1"), "done");
+  Settle(new_leader);
+  EXPECT_EQ(new_leader.State("j-1"), "done");
 }
 
 TEST_F(TakeoverTest, DeposedLeaderCanNeitherWriteNorCommand) {
-  TestController& old = AddController("n0");
-  FakeWorker& w = AddWorker("m-1");
-  ASSERT_TRUE(old.TakeOver(now));
-  Heartbeat(old, w);
-  Run(old, MakeJob("j-1"));
-  old.core.Tick(now, wall);
-  const WriteBatch plan = old.core.NextWriteBatch(now);
-  ASSERT_EQ(plan.puts.size(), 1U);
+  TestController& old_leader = AddController("n0");
+  FakeWorker& worker = AddWorker("m-1");
+  ASSERT_TRUE(old_leader.TakeOver(now));
+  Heartbeat(old_leader, worker);
+  Run(old_leader, MakeJob("j-1"));
+  old_leader.core.Tick(now, wall);
+  const WriteBatch batch = old_leader.core.NextWriteBatch(now);
+  ASSERT_EQ(batch.puts.size(), 1U);
 
   store.ExpireLeases();
-  TestController& next = AddController("n1");
-  ASSERT_TRUE(next.TakeOver(now));
-  EXPECT_TRUE(old.Finish(plan, now).deposed);
+  TestController& new_leader = AddController("n1");
+  ASSERT_TRUE(new_leader.TakeOver(now));
+  EXPECT_TRUE(old_leader.Finish(batch, now).deposed);
 
-  Heartbeat(next, w);  // the worker learns the new token
-  Heartbeat(next, w);
-  EXPECT_FALSE(old.core.OnHeartbeat(w.Snapshot(), now).accepted)
-      << "a controller that sees a later token must not hold the worker";
+  Heartbeat(new_leader, worker);  // the worker learns the new token
+  Heartbeat(new_leader, worker);
+  EXPECT_FALSE(old_leader.core.OnHeartbeat(worker.Snapshot(), now).accepted)
+      << "a deposed leader must not renew the lease of a worker with a later token";
 }
 
-// Found by a seed of the sweep that did not end: while one command was open another was wanted,
-// and a worker that refused, since it had seen a later leader's token, was asked for ever.
-TEST_F(TakeoverTest, WorkerThatRefusesIsNotRetriedWithoutABackoff) {
-  TestController& old = AddController("n0");
-  FakeWorker& w = AddWorker("m-1");
-  ASSERT_TRUE(old.TakeOver(now));
-  Heartbeat(old, w);
-  Run(old, MakeJob("j-1"));
-  Run(old, MakeJob("j-2"));
-  Settle(old);
-  ASSERT_EQ(w.LiveTaskCount(), 2U);
-  old.core.OnCancelled({"j-1"}, Revision{store.Get("j/j-1").entry->revision.value + 1});
-  const auto open = old.core.NextDirectCommand(now);
-  ASSERT_TRUE(open && !open->commands.empty());
+// Guards against endless retries (found by a seed of the sweep): while one command was pending,
+// another was needed, and a worker that had seen a later leader's token refused each retry.
+TEST_F(TakeoverTest, RefusingWorkerIsNotRetriedWithoutBackoff) {
+  TestController& old_leader = AddController("n0");
+  FakeWorker& worker = AddWorker("m-1");
+  ASSERT_TRUE(old_leader.TakeOver(now));
+  Heartbeat(old_leader, worker);
+  Run(old_leader, MakeJob("j-1"));
+  Run(old_leader, MakeJob("j-2"));
+  Settle(old_leader);
+  ASSERT_EQ(worker.LiveTaskCount(), 2U);
+  old_leader.core.OnCancelled({"j-1"}, Revision{store.Get("j/j-1").entry->revision.value + 1});
+  const auto pending = old_leader.core.NextDirectCommand(now);
+  ASSERT_TRUE(pending && !pending->commands.empty());
   store.ExpireLeases();
-  TestController& next = AddController("n1");
-  ASSERT_TRUE(next.TakeOver(now));
-  Heartbeat(next, w);  // the worker learns the new token
-  old.core.OnCancelled({"j-2"}, Revision{store.Get("j/j-2").entry->revision.value + 1});
-  EXPECT_FALSE(old.core.NextDirectCommand(now)) << "one command at a time";
-  EXPECT_FALSE(w.Take(*open));
-  old.core.OnDirectCommandResult(*open, DeliveryStatus::kAnswered, w.Snapshot(), now);
-  int asked = 0;
-  while (const auto again = old.core.NextDirectCommand(now)) {
-    ASSERT_LE(++asked, 2);
-    EXPECT_FALSE(w.Take(*again));
-    old.core.OnDirectCommandResult(*again, DeliveryStatus::kAnswered, w.Snapshot(), now);
+  TestController& new_leader = AddController("n1");
+  ASSERT_TRUE(new_leader.TakeOver(now));
+  Heartbeat(new_leader, worker);  // the worker learns the new token
+  old_leader.core.OnCancelled({"j-2"}, Revision{store.Get("j/j-2").entry->revision.value + 1});
+  EXPECT_FALSE(old_leader.core.NextDirectCommand(now)) << "a second command while one is pending";
+  EXPECT_FALSE(worker.Take(*pending));
+  old_leader.core.OnDirectCommandResult(*pending, DeliveryStatus::kAnswered, worker.Snapshot(),
+                                        now);
+  int retries = 0;
+  while (const auto retry = old_leader.core.NextDirectCommand(now)) {
+    ASSERT_LE(++retries, 2);
+    EXPECT_FALSE(worker.Take(*retry));
+    old_leader.core.OnDirectCommandResult(*retry, DeliveryStatus::kAnswered, worker.Snapshot(),
+                                          now);
   }
 }
 
-// Found on the rough day: a leader cut off from the state service probed a
-// worker that had stopped reporting to it, took over the later token from the
-// answer, and started tasks beside the new leader's.
-TEST_F(TakeoverTest, DeposedLeaderDoesNotAdoptALaterToken) {
-  TestController& old = AddController("n0");
-  FakeWorker& w = AddWorker("m-1");
-  ASSERT_TRUE(old.TakeOver(now));
-  Heartbeat(old, w);
+// A leader partitioned from the key-value store probed a worker that no longer sent it heartbeats,
+// adopted the later token from the answer, and started tasks concurrently with the new leader.
+TEST_F(TakeoverTest, DeposedLeaderDoesNotAdoptLaterToken) {
+  TestController& old_leader = AddController("n0");
+  FakeWorker& worker = AddWorker("m-1");
+  ASSERT_TRUE(old_leader.TakeOver(now));
+  Heartbeat(old_leader, worker);
   store.ExpireLeases();
-  TestController& next = AddController("n1");
-  ASSERT_TRUE(next.TakeOver(now));
-  Heartbeat(next, w);
+  TestController& new_leader = AddController("n1");
+  ASSERT_TRUE(new_leader.TakeOver(now));
+  Heartbeat(new_leader, worker);
   AdvanceTime(6);
   for (int i = 0; i < 2; ++i) {
     AdvanceTime(3);
-    const auto probe = old.core.NextProbe(now);
+    const auto probe = old_leader.core.NextProbe(now);
     ASSERT_TRUE(probe.has_value());
-    EXPECT_LT(probe->token, w.token());
-    EXPECT_FALSE(w.Take(*probe));
-    old.core.OnDirectCommandResult(*probe, DeliveryStatus::kAnswered, w.Snapshot(), now);
+    EXPECT_LT(probe->token, worker.token());
+    EXPECT_FALSE(worker.Take(*probe));
+    old_leader.core.OnDirectCommandResult(*probe, DeliveryStatus::kAnswered, worker.Snapshot(),
+                                          now);
   }
 }
 
-TEST_F(TakeoverTest, NewLeaderProbesWorkersOfTheFormerLeader) {
-  TestController& old = AddController("n0");
-  FakeWorker& w = AddWorker("m-1");
-  ASSERT_TRUE(old.TakeOver(now));
-  Heartbeat(old, w);
-  w.ExpireLease();  // so that the new leader can't guess the session
+TEST_F(TakeoverTest, NewLeaderProbesWorkersOfFormerLeader) {
+  TestController& old_leader = AddController("n0");
+  FakeWorker& worker = AddWorker("m-1");
+  ASSERT_TRUE(old_leader.TakeOver(now));
+  Heartbeat(old_leader, worker);
+  worker.ExpireLease();  // so that the new leader does not know the session
   store.ExpireLeases();
-  TestController& next = AddController("n1");
-  ASSERT_TRUE(next.TakeOver(now));
-  listed = {{w.id(), "x", "small", "a", false, ListedMachine::State::kRunning, {50}}};
-  RunCloud(next);
+  TestController& new_leader = AddController("n1");
+  ASSERT_TRUE(new_leader.TakeOver(now));
+  listed = {{worker.id(), "x", "small", "a", false, ListedMachine::State::kRunning, {50}}};
+  RunCloud(new_leader);
   for (int i = 0; i < 2; ++i) {
-    const auto probe = next.core.NextProbe(now);
+    const auto probe = new_leader.core.NextProbe(now);
     ASSERT_TRUE(probe.has_value());
-    EXPECT_EQ(w.Take(*probe), i == 1) << "the first answer tells the session";
-    next.core.OnDirectCommandResult(*probe, DeliveryStatus::kAnswered, w.Snapshot(), now);
+    EXPECT_EQ(worker.Take(*probe), i == 1) << "the first answer contains the session";
+    new_leader.core.OnDirectCommandResult(*probe, DeliveryStatus::kAnswered, worker.Snapshot(),
+                                          now);
   }
-  EXPECT_FALSE(next.core.NextProbe(now).has_value());
-  EXPECT_FALSE(old.core.OnHeartbeat(w.Snapshot(), now).accepted);
+  EXPECT_FALSE(new_leader.core.NextProbe(now).has_value());
+  EXPECT_FALSE(old_leader.core.OnHeartbeat(worker.Snapshot(), now).accepted);
 }
 
-TEST_F(TakeoverTest, LateRunOfTheFormerLeaderDoesNothing) {
-  TestController& old = AddController("n0");
-  FakeWorker& w = AddWorker("m-1");
-  ASSERT_TRUE(old.TakeOver(now));
-  Heartbeat(old, w);
-  Run(old, MakeJob("j-1"));
-  old.core.Tick(now, wall);
-  ASSERT_TRUE(old.WriteOnce(now));
-  const auto direct_command = old.core.NextDirectCommand(now);
-  ASSERT_TRUE(direct_command.has_value());  // and the network holds it back
+TEST_F(TakeoverTest, DelayedStartByFormerLeaderIsRejected) {
+  TestController& old_leader = AddController("n0");
+  FakeWorker& worker = AddWorker("m-1");
+  ASSERT_TRUE(old_leader.TakeOver(now));
+  Heartbeat(old_leader, worker);
+  Run(old_leader, MakeJob("j-1"));
+  old_leader.core.Tick(now, wall);
+  ASSERT_TRUE(old_leader.WriteOnce(now));
+  const auto direct_command = old_leader.core.NextDirectCommand(now);
+  ASSERT_TRUE(direct_command.has_value());  // delayed by the network
 
   store.ExpireLeases();
-  TestController& next = AddController("n1");
-  ASSERT_TRUE(next.TakeOver(now));
-  Settle(next);
-  ASSERT_EQ(w.starts[TaskOf("j-1")], 1);
-  w.EndAll(ExitReason::kDone);
-  Settle(next);
-  EXPECT_EQ(w.ReportedTaskCount(), 0U);
-  EXPECT_FALSE(w.Take(*direct_command));
-  EXPECT_EQ(w.LiveTaskCount(), 0U);
+  TestController& new_leader = AddController("n1");
+  ASSERT_TRUE(new_leader.TakeOver(now));
+  Settle(new_leader);
+  ASSERT_EQ(worker.starts[TaskOf("j-1")], 1);
+  worker.EndAll(ExitReason::kDone);
+  Settle(new_leader);
+  EXPECT_EQ(worker.ReportedTaskCount(), 0U);
+  EXPECT_FALSE(worker.Take(*direct_command));
+  EXPECT_EQ(worker.LiveTaskCount(), 0U);
 }
 
-TEST_F(TakeoverTest, UnansweredRunHoldsItsTaskUntilAHigherTokenIsSeen) {
+TEST_F(TakeoverTest, UnansweredStartKeepsTaskBoundUntilHigherTokenIsSeen) {
   TestController& node = AddController("n0");
-  FakeWorker& w = AddWorker("m-1");
+  FakeWorker& worker = AddWorker("m-1");
   ASSERT_TRUE(node.TakeOver(now));
-  Heartbeat(node, w);
+  Heartbeat(node, worker);
   Run(node, MakeJob("j-1"));
   node.core.Tick(now, wall);
   ASSERT_TRUE(node.WriteOnce(now));
@@ -177,21 +179,21 @@
   ASSERT_EQ(node.api.Cancel("j-1").status, 200);
   node.ReadJobs();
 
-  // The next report says nothing of the task, but the command may still come.
-  const HeartbeatResponse reply = node.core.OnHeartbeat(w.Snapshot(), now);
-  EXPECT_GT(reply.token, direct_command->token);
+  // The next heartbeat does not list the task, but the command may still arrive.
+  const HeartbeatResponse response = node.core.OnHeartbeat(worker.Snapshot(), now);
+  EXPECT_GT(response.token, direct_command->token);
   EXPECT_EQ(node.core.GetStatus().bound, 1U);
-  w.Deliver(reply);
-  EXPECT_FALSE(w.Take(*direct_command)) << "the raised token shuts it out";
-  Heartbeat(node, w);
+  worker.Deliver(response);
+  EXPECT_FALSE(worker.Take(*direct_command)) << "the raised token fences off the command";
+  Heartbeat(node, worker);
   EXPECT_EQ(node.core.GetStatus().bound, 0U);
 }
 
-TEST_F(TakeoverTest, HeartbeatThatCrossesAPendingCommandProvesNothing) {
+TEST_F(TakeoverTest, HeartbeatCrossingPendingCommandKeepsTaskBound) {
   TestController& node = AddController("n0");
-  FakeWorker& w = AddWorker("m-1");
+  FakeWorker& worker = AddWorker("m-1");
   ASSERT_TRUE(node.TakeOver(now));
-  Heartbeat(node, w);
+  Heartbeat(node, worker);
   Run(node, MakeJob("j-1"));
   node.core.Tick(now, wall);
   ASSERT_TRUE(node.WriteOnce(now));
@@ -199,19 +201,20 @@
   ASSERT_TRUE(direct_command.has_value());
   ASSERT_EQ(node.api.Cancel("j-1").status, 200);
   node.ReadJobs();
-  const magpie::Heartbeat before = w.Snapshot();
-  ASSERT_TRUE(w.Take(*direct_command));  // executed while the report is on its way
-  w.Deliver(node.core.OnHeartbeat(before, now));
+  const magpie::Heartbeat before = worker.Snapshot();
+  ASSERT_TRUE(worker.Take(*direct_command));  // executed while the heartbeat is in flight
+  worker.Deliver(node.core.OnHeartbeat(before, now));
   EXPECT_EQ(node.core.GetStatus().bound, 1U);
-  node.core.OnDirectCommandResult(*direct_command, DeliveryStatus::kAnswered, w.Snapshot(), now);
+  node.core.OnDirectCommandResult(*direct_command, DeliveryStatus::kAnswered, worker.Snapshot(),
+                                  now);
   Settle(node);
-  EXPECT_EQ(w.LiveTaskCount(), 0U);
+  EXPECT_EQ(worker.LiveTaskCount(), 0U);
   EXPECT_EQ(node.State("j-1"), "withdrawn");
 }
 
 class LostWriteAnswerTest : public ClusterTest {};
 
-TEST_F(LostWriteAnswerTest, WriteWhoseAnswerIsLostCountsOnce) {
+TEST_F(LostWriteAnswerTest, UnansweredWriteIsAppliedOnce) {
   TestController& node = AddController("n0");
   AddWorker("m-1");
   ASSERT_TRUE(node.TakeOver(now));
@@ -226,19 +229,19 @@
   EXPECT_EQ(node.State("j-1"), "done");
 }
 
-TEST_F(LostWriteAnswerTest, TransactionThatCommitsLateChangesNothing) {
+TEST_F(LostWriteAnswerTest, LateTransactionChangesNothing) {
   TestController& node = AddController("n0");
   AddWorker("m-1");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
   Run(node, MakeJob("j-1"));
   store.next_commit = FakeStore::Fault::kCommitLate;
-  Settle(node);  // the repeated transaction is carried out at once
+  Settle(node);  // the retry commits at once
   EXPECT_EQ(CountLiveTasks(), 1U);
   EXPECT_FALSE(store.DeliverDelayed());
 }
 
-TEST_F(LostWriteAnswerTest, SubmissionThatCommitsLateIsOneJobOnly) {
+TEST_F(LostWriteAnswerTest, LateSubmissionCreatesOneJob) {
   TestController& node = AddController("n0");
   store.next_commit = FakeStore::Fault::kCommitLate;
   EXPECT_EQ(Submit(node, MakeJob("j-1")), 201);
@@ -246,25 +249,25 @@
   EXPECT_EQ(Submit(node, MakeJob("j-1")), 200);
 }
 
-TEST_F(TakeoverTest, TeamLimitHolds) {
-  TestController& first = AddController("n0");
+TEST_F(TakeoverTest, TeamLimitHoldsAcrossTakeover) {
+  TestController& first_leader = AddController("n0");
   AddWorker("m-1", "large");
-  ASSERT_TRUE(first.TakeOver(now));
-  Settle(first);
+  ASSERT_TRUE(first_leader.TakeOver(now));
+  Settle(first_leader);
   JobSpec job = MakeJob("j-1", 5);
   job.team = "blue";  // at most 6 CPUs, so 3 tasks
-  Run(first, job);
-  Settle(first);
+  Run(first_leader, job);
+  Settle(first_leader);
   EXPECT_EQ(CountLiveTasks(), 3U);
   store.ExpireLeases();
-  TestController& next = AddController("n1");
+  TestController& new_leader = AddController("n1");
   AddWorker("m-2", "large");
-  ASSERT_TRUE(next.TakeOver(now));
-  Heartbeat(next, workers_.back());  // the one that holds the tasks says nothing yet
-  next.core.Tick(now, wall);
-  while (next.WriteOnce(now)) {
+  ASSERT_TRUE(new_leader.TakeOver(now));
+  Heartbeat(new_leader, workers_.back());  // m-1, which runs the tasks, has sent no heartbeat yet
+  new_leader.core.Tick(now, wall);
+  while (new_leader.WriteOnce(now)) {
   }
-  Heartbeat(next, workers_.back());
+  Heartbeat(new_leader, workers_.back());
   EXPECT_EQ(CountLiveTasks(), 3U);
 }
 
--- a/tests/write_budget_test.cc
+++ b/tests/write_budget_test.cc
@@ -8,44 +8,44 @@
 
 class WriteBudgetTest : public ClusterTest {};
 
-// Found on days of too much load: a late job took the room, and made the next
-// one late as well.
-TEST_F(WriteBudgetTest, WorkThatCanMeetItsTargetGoesBeforeLateWork) {
+// Guards against a late job that takes the capacity and makes the next job late as well (found in
+// overload scenarios).
+TEST_F(WriteBudgetTest, AttainableTargetPrecedesLateWork) {
   TestController& node = AddController("n0");
-  FakeWorker& w = AddWorker("m-1");
+  FakeWorker& worker = AddWorker("m-1");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
-  JobSpec late = MakeJob("j-1", 2);
-  late.deadline = Seconds{40};  // has passed for certain when there is room
-  JobSpec in_time = MakeJob("j-2", 2);
-  in_time.deadline = Seconds{200};
+  JobSpec late_job = MakeJob("j-1", 2);
+  late_job.deadline = Seconds{40};  // has certainly passed when capacity becomes free
+  JobSpec timely_job = MakeJob("j-2", 2);
+  timely_job.deadline = Seconds{200};
   Run(node, MakeJob("j-3", 2));
   Settle(node);
-  Run(node, late);
-  Run(node, in_time);
+  Run(node, late_job);
+  Run(node, timely_job);
   AdvanceTime(60);
-  Heartbeat(node, w);
-  w.EndAll(ExitReason::kDone);
+  Heartbeat(node, worker);
+  worker.EndAll(ExitReason::kDone);
   Settle(node, 2);
-  ASSERT_EQ(w.LiveTaskCount(), 2U);
-  EXPECT_EQ(w.starts[TaskOf("j-2")], 1);
-  EXPECT_EQ(w.starts[TaskOf("j-1")], 0);
+  ASSERT_EQ(worker.LiveTaskCount(), 2U);
+  EXPECT_EQ(worker.starts[TaskOf("j-2")], 1);
+  EXPECT_EQ(worker.starts[TaskOf("j-1")], 0);
 }
 
-TEST_F(WriteBudgetTest, CapacityIsFreeBeforeTheOutcomeIsDurable) {
+TEST_F(WriteBudgetTest, CapacityIsFreeBeforeOutcomeIsDurable) {
   TestController& node = AddController("n0");
-  FakeWorker& w = AddWorker("m-1");
+  FakeWorker& worker = AddWorker("m-1");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
   Run(node, MakeJob("j-1", 2));
   Settle(node);
   Run(node, MakeJob("j-2", 2));
-  w.EndAll(ExitReason::kDone);
-  Heartbeat(node, w);
+  worker.EndAll(ExitReason::kDone);
+  Heartbeat(node, worker);
   node.core.Tick(now, wall);
-  EXPECT_EQ(node.core.GetStatus().bound, 4U) << "two that ended, two that follow";
+  EXPECT_EQ(node.core.GetStatus().bound, 4U) << "two ended tasks and two new ones";
   Settle(node);
-  EXPECT_EQ(w.LiveTaskCount(), 2U);
+  EXPECT_EQ(worker.LiveTaskCount(), 2U);
   EXPECT_EQ(node.State("j-1"), "done");
 }
 
@@ -54,26 +54,26 @@
   options.writes_per_s = 4;
   options.max_operations = 4;
   TestController& node = controllers_.emplace_back(store, "n0", options);
-  FakeWorker& w = AddWorker("m-1", "large");
+  FakeWorker& worker = AddWorker("m-1", "large");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
   for (int j = 1; j <= 3; ++j) Run(node, MakeJob("j-" + std::to_string(j), 2));
   AdvanceTime(5);
   Settle(node);
-  ASSERT_EQ(w.LiveTaskCount(), 6U);
+  ASSERT_EQ(worker.LiveTaskCount(), 6U);
   AdvanceTime(0.1);
-  for (int j = 1; j <= 3; ++j) w.End(TaskOf("j-" + std::to_string(j)), ExitReason::kDone);
-  Heartbeat(node, w);
+  for (int j = 1; j <= 3; ++j) worker.End(TaskOf("j-" + std::to_string(j)), ExitReason::kDone);
+  Heartbeat(node, worker);
   Run(node, MakeJob("j-4", 1));
   AdvanceTime(0.7);
   node.core.Tick(now, wall);
-  const WriteBatch plan = node.core.NextWriteBatch(now);
-  ASSERT_FALSE(plan.puts.empty());
-  EXPECT_EQ(plan.puts.front().records[plan.puts.front().rewritten].job, JobId{"j-4"});
+  const WriteBatch batch = node.core.NextWriteBatch(now);
+  ASSERT_FALSE(batch.puts.empty());
+  EXPECT_EQ(batch.puts.front().records[batch.puts.front().rewritten].job, JobId{"j-4"});
 }
 
-// A flood of one-task jobs of low priority took a change for each of them, and the
-// users' submissions were refused for it.
+// Guards against many one-task jobs of low priority that use one write each, so that submissions
+// are refused by the rate limit.
 TEST_F(WriteBudgetTest, LowPriorityBindingsShareScarceWrites) {
   Scheduler::Options options = DefaultOptions();
   options.writes_per_s = 20;
@@ -81,11 +81,11 @@
   for (int i = 0; i < 4; ++i) AddWorker("m-" + std::to_string(i), "large");
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
-  const int before = store.commits;
+  const int commits_before = store.commits;
   for (int i = 0; i < 20; ++i) {
-    JobSpec low = MakeJob("j-" + std::to_string(100 + i));
-    low.priority = Priority::kLow;
-    Run(node, low);
+    JobSpec low_priority_job = MakeJob("j-" + std::to_string(100 + i));
+    low_priority_job.priority = Priority::kLow;
+    Run(node, low_priority_job);
     node.core.Tick(now, wall);
     while (node.WriteOnce(now)) {
     }
@@ -94,11 +94,12 @@
   AdvanceTime(1);
   Settle(node);
   EXPECT_EQ(CountLiveTasks(), 20U);
-  EXPECT_LT(store.commits - before - 20, 12) << "besides the 20 submissions";
+  EXPECT_LT(store.commits - commits_before - 20, 12)
+      << "too many writes besides the 20 submissions";
 }
 
-// After many machines died, replicas waited behind arrays for a few changes a
-// second, by the order of their jobs' names.
+// After the loss of many machines, bindings were written in the order of the jobs' names, so that
+// service replicas waited behind arrays for a few writes per second.
 TEST_F(WriteBudgetTest, BindingsAreWrittenByPriority) {
   Scheduler::Options options = DefaultOptions();
   options.writes_per_s = 4;
@@ -116,9 +117,9 @@
   Run(node, service);
   AdvanceTime(2);
   node.core.Tick(now, wall);
-  const WriteBatch plan = node.core.NextWriteBatch(now);
-  ASSERT_EQ(plan.puts.size(), 1U);
-  EXPECT_EQ(plan.puts.front().records.front().job, JobId{"j-9"});
+  const WriteBatch batch = node.core.NextWriteBatch(now);
+  ASSERT_EQ(batch.puts.size(), 1U);
+  EXPECT_EQ(batch.puts.front().records.front().job, JobId{"j-9"});
 }
 
 }  // namespace
