--- a/src/failover/failover_timeline.h
+++ b/src/failover/failover_timeline.h
@@ -33,7 +33,7 @@
   void Record(Step step, Instant now);
   // `reconciled` of the `all` machines with recorded tasks have sent a heartbeat or been removed.
   void OnReconciled(std::size_t reconciled, std::size_t all, Instant now);
-  // Clears all steps from kElected on, when the leadership is lost or won anew.
+  // Clears all steps from kElected on, when the leadership is lost or won again.
   void Restart();
   // Time from when the controller began to listen; nullopt if the step was not reached.
   std::optional<Seconds> ElapsedUntil(Step step) const;
--- a/src/failure_attribution/failure_attribution.h
+++ b/src/failure_attribution/failure_attribution.h
@@ -70,8 +70,7 @@
     Seconds longest_failed_run;              // the longest run time of a failed task
     std::uint32_t retry_rounds = 0;          // of retries since the job is considered faulty
     Instant not_before;
-    std::uint32_t max_tasks_after_takeover =
-        kUnlimited;  // limit of concurrent tasks after a takeover
+    std::uint32_t max_tasks_after_takeover = kUnlimited;  // limit of concurrent tasks
   };
   struct MachineState {
     std::vector<JobSerial> jobs;  // distinct jobs that failed on it since a task completed on it
--- a/tests/cancellation_test.cc
+++ b/tests/cancellation_test.cc
@@ -43,7 +43,7 @@
   void RestoreAndExpectCancelled() {
     cluster.store.outage = false;
     cluster.partitions.clear();
-    for (auto& [label, run] : cluster.controllers) run->store.refused = false;
+    for (auto& [label, controller] : cluster.controllers) controller->store.refused = false;
     cluster.AdvanceSeconds(15);
     for (const std::string& label : cluster.labels)
       EXPECT_EQ(cluster.Cancel("j-1", label), "withdrawn");
@@ -148,38 +148,38 @@
        {FakeStore::Fault::kRefuse, FakeStore::Fault::kLoseResponse, FakeStore::Fault::kCommitLate})
     for (int fault_step = 0; fault_step < 2; ++fault_step) {
       SCOPED_TRACE(std::to_string(static_cast<int>(fault)) + " at " + std::to_string(fault_step));
-      SimulatedCluster world;
-      world.AdvanceSeconds(3);
-      ASSERT_TRUE(world.Submit("j-1", 3, "n1"));
-      world.AdvanceSeconds(10);
-      const std::string leader_label = world.Leader();
+      SimulatedCluster simulation;
+      simulation.AdvanceSeconds(3);
+      ASSERT_TRUE(simulation.Submit("j-1", 3, "n1"));
+      simulation.AdvanceSeconds(10);
+      const std::string leader_label = simulation.Leader();
       const std::string canceller = leader_label == "n0" ? "n1" : "n0";
       const std::string third = leader_label == "n2" ? "n1" : "n2";
-      world.controllers.at(leader_label)->store.refused = true;
-      world.store.crash_fault = fault;
-      world.store.commits_until_crash = fault_step;
-      EXPECT_THROW(world.Cancel("j-1", canceller), FakeStore::Crashed);
-      world.StopController(canceller);
-      world.StartController(canceller);
+      simulation.controllers.at(leader_label)->store.refused = true;
+      simulation.store.crash_fault = fault;
+      simulation.store.commits_until_crash = fault_step;
+      EXPECT_THROW(simulation.Cancel("j-1", canceller), FakeStore::Crashed);
+      simulation.StopController(canceller);
+      simulation.StartController(canceller);
       if (fault_step == 1) {
-        world.partitions.insert({third, leader_label});  // it cannot reach the leader
+        simulation.partitions.insert({third, leader_label});  // it cannot reach the leader
       }
-      world.AdvanceSeconds(1);
-      while (world.store.has_delayed_transactions()) world.store.DeliverDelayed();
-      const std::string state_at_third = world.Poll("j-1", third);
+      simulation.AdvanceSeconds(1);
+      while (simulation.store.has_delayed_transactions()) simulation.store.DeliverDelayed();
+      const std::string state_at_third = simulation.Poll("j-1", third);
       EXPECT_EQ(state_at_third == "withdrawn",
                 fault_step == 1 && fault != FakeStore::Fault::kRefuse);
-      world.store.outage = true;
-      world.AdvanceSeconds(70);
-      EXPECT_EQ(world.violations, std::set<std::string>{});
-      world.store.outage = false;
-      world.partitions.clear();
-      world.controllers.at(leader_label)->store.refused = false;
-      world.AdvanceSeconds(12);
-      EXPECT_EQ(world.Cancel("j-1", third), "withdrawn");
-      world.AdvanceSeconds(5);
-      EXPECT_EQ(world.LiveTasks("j-1"), 0U);
-      EXPECT_EQ(world.violations, std::set<std::string>{});
+      simulation.store.outage = true;
+      simulation.AdvanceSeconds(70);
+      EXPECT_EQ(simulation.violations, std::set<std::string>{});
+      simulation.store.outage = false;
+      simulation.partitions.clear();
+      simulation.controllers.at(leader_label)->store.refused = false;
+      simulation.AdvanceSeconds(12);
+      EXPECT_EQ(simulation.Cancel("j-1", third), "withdrawn");
+      simulation.AdvanceSeconds(5);
+      EXPECT_EQ(simulation.LiveTasks("j-1"), 0U);
+      EXPECT_EQ(simulation.violations, std::set<std::string>{});
     }
 }
 
@@ -209,32 +209,32 @@
   for (int fault_step = 0; fault_step < 6; ++fault_step)
     for (const int length : {3, 18, 30, 60}) {
       SCOPED_TRACE(std::to_string(fault_step) + ", " + std::to_string(length));
-      SimulatedCluster world;
-      world.AdvanceSeconds(3);
-      ASSERT_TRUE(world.Submit("j-1", 3, "n1"));
-      world.AdvanceSeconds(8);
-      const std::string leader_label = world.Leader();
+      SimulatedCluster simulation;
+      simulation.AdvanceSeconds(3);
+      ASSERT_TRUE(simulation.Submit("j-1", 3, "n1"));
+      simulation.AdvanceSeconds(8);
+      const std::string leader_label = simulation.Leader();
       const std::string other = leader_label == "n0" ? "n1" : "n0";
       const auto pause = [&](int step) {
         if (fault_step == step)
-          world.paused_until[leader_label] = world.now + Seconds{1.0 * length};
+          simulation.paused_until[leader_label] = simulation.now + Seconds{1.0 * length};
       };
       pause(0);
-      world.controllers.at(leader_label)->store.refused = true;
+      simulation.controllers.at(leader_label)->store.refused = true;
       pause(1);
-      world.AdvanceSeconds(1);
+      simulation.AdvanceSeconds(1);
       pause(2);
-      const bool acknowledged = world.Cancel("j-1", other) == "withdrawn";
-      EXPECT_EQ(acknowledged, world.IsUp(leader_label));
+      const bool acknowledged = simulation.Cancel("j-1", other) == "withdrawn";
+      EXPECT_EQ(acknowledged, simulation.IsUp(leader_label));
       pause(3);
-      world.store.outage = true;
-      world.AdvanceSeconds(4);
+      simulation.store.outage = true;
+      simulation.AdvanceSeconds(4);
       pause(4);
-      world.AdvanceSeconds(3);
+      simulation.AdvanceSeconds(3);
       pause(5);
-      world.AdvanceSeconds(70);
-      EXPECT_TRUE(!acknowledged || world.LiveTasks("j-1") == 0);
-      EXPECT_EQ(world.violations, std::set<std::string>{});
+      simulation.AdvanceSeconds(70);
+      EXPECT_TRUE(!acknowledged || simulation.LiveTasks("j-1") == 0);
+      EXPECT_EQ(simulation.violations, std::set<std::string>{});
     }
 }
 
@@ -374,56 +374,58 @@
 // heartbeats. It never starts a task of a job whose cancellation was announced meanwhile.
 TEST_F(CancellationTest, NoStartsOrRenewalsUntilCancellationsAreLoaded) {
   Begin();
-  SimulatedController& run = *cluster.controllers.at(leader);
-  run.core.AllowTaskStarts(false);
+  SimulatedController& controller = *cluster.controllers.at(leader);
+  controller.core.AllowTaskStarts(false);
   ASSERT_TRUE(cluster.Submit("j-5", 1, peers[0]));
   cluster.AdvanceSeconds(1);
-  run.core.AllowTaskStarts(false);
+  controller.core.AllowTaskStarts(false);
   for (auto& machine : cluster.machines)
-    for (const Command& c : run.core.OnHeartbeat(machine.worker.Snapshot(), cluster.now).commands)
+    for (const Command& c :
+         controller.core.OnHeartbeat(machine.worker.Snapshot(), cluster.now).commands)
       EXPECT_NE(c.kind, CommandKind::kRun);
   const magpie::Heartbeat heartbeat = cluster.machines.front().worker.Snapshot();
   magpie::HeartbeatResponse reply;
   reply.commands = {{CommandKind::kRun, {{"j-7"}, 0}, {1}, {}},
                     {CommandKind::kRun, {{"j-8"}, 0}, {1}, {}}};
-  ASSERT_TRUE(run.cancellations.Record(
+  ASSERT_TRUE(controller.cancellations.Record(
       JobCache::Cancellation{{"j-7"}, {cluster.store.current_revision().value + 1}}));
-  const auto answer = run.cancellations.CompleteResponse(heartbeat, reply);
+  const auto answer = controller.cancellations.CompleteResponse(heartbeat, reply);
   ASSERT_TRUE(answer);
   ASSERT_EQ(answer->commands.size(), 1U);
   EXPECT_EQ(answer->commands[0].task.job.value, "j-8");
   magpie::DirectCommand direct_command;
   direct_command.commands = reply.commands;
-  run.cancellations.RemoveCancelledStarts(direct_command);
+  controller.cancellations.RemoveCancelledStarts(direct_command);
   ASSERT_EQ(direct_command.commands.size(), 1U);
 }
 
 TEST_F(CancellationTest, MalformedAnnouncementIsRejected) {
   Begin();
-  SimulatedController& run = *cluster.controllers.at(peers[0]);
+  SimulatedController& controller = *cluster.controllers.at(peers[0]);
   for (const char* text : {"", "[]", "{}", R"({"job":"j-1"})", R"({"job":"j-1","stamp":-1})",
                            R"({"job":"j-1","stamp":"7"})", R"({"job":"nonsense","stamp":7})",
                            R"({"job":7,"stamp":7})", R"({"job":"j-1","stamp":)"})
-    EXPECT_THROW(run.cancellations.RecordAnnouncement(std::string(text)), protocol::InvalidMessage)
+    EXPECT_THROW(controller.cancellations.RecordAnnouncement(std::string(text)),
+                 protocol::InvalidMessage)
         << text;
-  EXPECT_FALSE(run.api.cache().IsCancelled({"j-1"}));
+  EXPECT_FALSE(controller.api.cache().IsCancelled({"j-1"}));
 }
 
 // A controller whose registry is full does not acknowledge further cancellations.
 TEST_F(CancellationTest, FullRegistryDoesNotAcknowledge) {
   Begin();
-  SimulatedController& run = *cluster.controllers.at(leader);
-  run.store.refused = true;
+  SimulatedController& controller = *cluster.controllers.at(leader);
+  controller.store.refused = true;
   cluster.AdvanceSeconds(1);
   std::uint64_t kept = 0;
   const std::uint64_t from = cluster.store.current_revision().value + 1000;
-  while (kept < 100000 && run.cancellations.Record(JobCache::Cancellation{
+  while (kept < 100000 && controller.cancellations.Record(JobCache::Cancellation{
                               {"j-9" + std::to_string(kept)}, {from + kept}}))
     ++kept;
   EXPECT_GE(kept, 10000U);
   EXPECT_LT(kept, 100000U);
   EXPECT_EQ(cluster.Cancel("j-1", peers[0]), "");
-  EXPECT_TRUE(run.cancellations.Record(JobCache::Cancellation{{"j-90"}, {from}}))
+  EXPECT_TRUE(controller.cancellations.Record(JobCache::Cancellation{{"j-90"}, {from}}))
       << "already recorded";
 }
 
--- a/tests/fake_key_value_store.h
+++ b/tests/fake_key_value_store.h
@@ -18,12 +18,12 @@
     kNone,
     kRefuse,        // 503: not carried out
     kLoseResponse,  // carried out, but the response is lost
-    kCommitLate,    // delayed and unanswered; Deliver() carries it out
+    kCommitLate,    // delayed and unanswered; DeliverDelayed() carries it out
   };
   // The fault of the next commit; later commits succeed.
   Fault next_commit = Fault::kNone;
   // Simulates a crash of the calling process in the commit after this many others: the call throws
-  // Ended, and `crash_fault` is the fault of the commit itself. Negative: no crash.
+  // Crashed, and `crash_fault` is the fault of the commit itself. Negative: no crash.
   struct Crashed {};
   int commits_until_crash = -1;
   Fault crash_fault = Fault::kNone;
