--- a/src/failure_attribution/failure_attribution.h
+++ b/src/failure_attribution/failure_attribution.h
@@ -57,7 +57,7 @@
   // No task may be started on the machine before this time.
   Instant SuspectedUntil(const MachineId& machine) const;
   // Whether there is no evidence against any machine.
-  bool has_no_suspects() const { return machines_.empty(); }
+  bool quiet() const { return machines_.empty(); }
   // Whether the job is considered faulty: it failed on several machines and never ran well.
   bool IsFaulty(JobSerial job) const;
 
--- a/tests/failure_attribution_test.cc
+++ b/tests/failure_attribution_test.cc
@@ -84,7 +84,7 @@
   EXPECT_GT(attribution.SuspectedUntil(kM1) - Instant{20}, first_suspicion);
   attribution.Forget(1);  // cancelled
   EXPECT_EQ(attribution.SuspectedUntil(kM1), Instant{});
-  EXPECT_TRUE(attribution.has_no_suspects());
+  EXPECT_TRUE(attribution.quiet());
 }
 
 TEST(FailureAttributionTest, ManyAttemptsBeforeTakeoverLimitTasks) {
