--- a/tests/fault_scenario_test.cc
+++ b/tests/fault_scenario_test.cc
@@ -20,7 +20,7 @@
 
 class FaultScenarioTest : public ::testing::TestWithParam<FaultScenario> {};
 
-TEST_P(FaultScenarioTest, NoInvariantIsViolatedAndAllJobsRunOrAreAnswered) {
+TEST_P(FaultScenarioTest, KeepsInvariantsAndFinishesAllJobs) {
   ScenarioCluster cluster;
   cluster.Run(3);
   for (const char* job : {"j-1", "j-2"}) ASSERT_TRUE(cluster.Submit(job, 2, "n1"));
@@ -37,36 +37,36 @@
     Scenarios, FaultScenarioTest,
     ::testing::Values(
         FaultScenario{"ZoneBoundJobsLoseMachines", ZoneBoundJobsLoseMachines},
-        FaultScenario{"ZoneWithoutMachinesDelaysNoOtherJob", ZoneWithoutMachinesDelaysNoOtherJob},
-        FaultScenario{"PollsEverywhere", PollsEverywhereAroundAcceptanceEndAndCancellation},
-        FaultScenario{"CancelledAtTheEndOfTheLastTask", CancelledAtTheEndOfTheLastTask},
-        FaultScenario{"OnlyTheAnswerIsLostWhileOthersRead", OnlyTheAnswerIsLostWhileOthersRead},
+        FaultScenario{"ZoneWithoutMachinesDelaysNoOtherJob", ZoneWithoutMachinesDoesNotDelayOtherJobs},
+        FaultScenario{"PollsEverywhere", PollsAllControllersAroundStateChanges},
+        FaultScenario{"CancelledAtTheEndOfTheLastTask", CancellationWhenLastTaskEnds},
+        FaultScenario{"OnlyTheAnswerIsLostWhileOthersRead", StoreResponseLostDuringReads},
         FaultScenario{"StaleHeartbeatsReachEveryControllerDuringATakeover",
-                      StaleHeartbeatsReachEveryControllerDuringATakeover},
+                      StaleHeartbeatsAtAllControllersDuringTakeover},
         FaultScenario{"HeartbeatIsDelayedUntilANewLeaderHasActed",
-                      HeartbeatIsDelayedUntilANewLeaderHasActed},
-        FaultScenario{"TenChangesOfLeaderInTwoMinutes", TenChangesOfLeaderInTwoMinutes},
+                      HeartbeatDelayedUntilNewLeaderActed},
+        FaultScenario{"TenChangesOfLeaderInTwoMinutes", TenLeaderChangesInTwoMinutes},
         FaultScenario{"AllControllersAreDownForLongerThanALease",
-                      AllControllersAreDownForLongerThanALease},
-        FaultScenario{"CommandOfAFormerLeaderArrivesLate", CommandOfAFormerLeaderArrivesLate},
-        FaultScenario{"CancelledDuringAHandover", CancelledDuringAHandover},
+                      AllControllersDownBeyondLease},
+        FaultScenario{"CommandOfAFormerLeaderArrivesLate", LateCommandFromFormerLeader},
+        FaultScenario{"CancelledDuringAHandover", CancellationDuringHandover},
         FaultScenario{"CancelledAtTheQuotaOnUnreachableMachines",
-                      CancelledAtTheQuotaOnUnreachableMachinesDuringATakeover},
+                      CancellationAtQuotaOnUnreachableMachinesDuringTakeover},
         FaultScenario{"ZoneWithAControllerIsPartitionedForLongerThanALease",
-                      ZoneWithAControllerIsPartitionedForLongerThanALease},
+                      ZoneWithControllerPartitionedBeyondLease},
         FaultScenario{"MachinesThatSendNothingLoseTheirLeases",
-                      MachinesThatSendNothingLoseTheirLeasesThoughProbesAreAnswered},
-        FaultScenario{"CancelledAtTheRefusal", CancelledAtTheRefusalBeforeAnOutage},
+                      MachinesWithoutHeartbeatsLoseLeasesDespiteProbes},
+        FaultScenario{"CancelledAtTheRefusal", CancellationWhenStoreRefusesLeaderBeforeOutage},
         FaultScenario{"LeadershipMovesBackAndForthAndAllCrash",
-                      LeadershipMovesBackAndForthAndAllCrash},
-        FaultScenario{"TasksEndFarApartAcrossLeaders", TasksEndFarApartAcrossLeaders},
+                      LeadershipAlternatesThenAllControllersCrash},
+        FaultScenario{"TasksEndFarApartAcrossLeaders", TasksEndUnderDifferentLeaders},
         FaultScenario{"LeaderCrashesWhileMachinesAreUnreachable",
-                      LeaderCrashesWhileMachinesAreUnreachable},
-        FaultScenario{"QuickBootsWhileWritesLag", QuickBootsWhileWritesLagAndTheLeaderCrashes},
+                      LeaderCrashesWhileMachinesUnreachable},
+        FaultScenario{"QuickBootsWhileWritesLag", FastBootsWithLateWritesAndLeaderCrash},
         FaultScenario{"OverloadWithSlowHeartbeatsAndCommands",
                       OverloadWithSlowHeartbeatsAndCommands},
-        FaultScenario{"InvalidRequestsAreNeverAccepted", InvalidRequestsAreNeverAccepted},
-        FaultScenario{"OneTaskJobsFourASecond", OneTaskJobsFourASecondAQuarterCancelled}),
+        FaultScenario{"InvalidRequestsAreNeverAccepted", InvalidRequestsAreRejected},
+        FaultScenario{"OneTaskJobsFourASecond", FourSingleTaskJobsPerSecondQuarterCancelled}),
     [](const auto& info) { return std::string(info.param.name); });
 
 }  // namespace
--- a/tests/fault_scenarios.h
+++ b/tests/fault_scenarios.h
@@ -10,28 +10,28 @@
 
 // ---- Jobs, machines and users (job_fault_scenarios.cc)
 void ZoneBoundJobsLoseMachines(ScenarioCluster& cluster);
-void ZoneWithoutMachinesDelaysNoOtherJob(ScenarioCluster& cluster);
-void PollsEverywhereAroundAcceptanceEndAndCancellation(ScenarioCluster& cluster);
-void CancelledAtTheEndOfTheLastTask(ScenarioCluster& cluster);
-void OnlyTheAnswerIsLostWhileOthersRead(ScenarioCluster& cluster);
-void CancelledAtTheQuotaOnUnreachableMachinesDuringATakeover(ScenarioCluster& cluster);
-void ZoneWithAControllerIsPartitionedForLongerThanALease(ScenarioCluster& cluster);
-void MachinesThatSendNothingLoseTheirLeasesThoughProbesAreAnswered(ScenarioCluster& cluster);
-void CancelledAtTheRefusalBeforeAnOutage(ScenarioCluster& cluster);
+void ZoneWithoutMachinesDoesNotDelayOtherJobs(ScenarioCluster& cluster);
+void PollsAllControllersAroundStateChanges(ScenarioCluster& cluster);
+void CancellationWhenLastTaskEnds(ScenarioCluster& cluster);
+void StoreResponseLostDuringReads(ScenarioCluster& cluster);
+void CancellationAtQuotaOnUnreachableMachinesDuringTakeover(ScenarioCluster& cluster);
+void ZoneWithControllerPartitionedBeyondLease(ScenarioCluster& cluster);
+void MachinesWithoutHeartbeatsLoseLeasesDespiteProbes(ScenarioCluster& cluster);
+void CancellationWhenStoreRefusesLeaderBeforeOutage(ScenarioCluster& cluster);
 void OverloadWithSlowHeartbeatsAndCommands(ScenarioCluster& cluster);
-void InvalidRequestsAreNeverAccepted(ScenarioCluster& cluster);
-void OneTaskJobsFourASecondAQuarterCancelled(ScenarioCluster& cluster);
+void InvalidRequestsAreRejected(ScenarioCluster& cluster);
+void FourSingleTaskJobsPerSecondQuarterCancelled(ScenarioCluster& cluster);
 
 // ---- Changes of leader (leader_fault_scenarios.cc)
-void StaleHeartbeatsReachEveryControllerDuringATakeover(ScenarioCluster& cluster);
-void HeartbeatIsDelayedUntilANewLeaderHasActed(ScenarioCluster& cluster);
-void TenChangesOfLeaderInTwoMinutes(ScenarioCluster& cluster);
-void AllControllersAreDownForLongerThanALease(ScenarioCluster& cluster);
-void CommandOfAFormerLeaderArrivesLate(ScenarioCluster& cluster);
-void CancelledDuringAHandover(ScenarioCluster& cluster);
-void LeadershipMovesBackAndForthAndAllCrash(ScenarioCluster& cluster);
-void TasksEndFarApartAcrossLeaders(ScenarioCluster& cluster);
-void LeaderCrashesWhileMachinesAreUnreachable(ScenarioCluster& cluster);
-void QuickBootsWhileWritesLagAndTheLeaderCrashes(ScenarioCluster& cluster);
+void StaleHeartbeatsAtAllControllersDuringTakeover(ScenarioCluster& cluster);
+void HeartbeatDelayedUntilNewLeaderActed(ScenarioCluster& cluster);
+void TenLeaderChangesInTwoMinutes(ScenarioCluster& cluster);
+void AllControllersDownBeyondLease(ScenarioCluster& cluster);
+void LateCommandFromFormerLeader(ScenarioCluster& cluster);
+void CancellationDuringHandover(ScenarioCluster& cluster);
+void LeadershipAlternatesThenAllControllersCrash(ScenarioCluster& cluster);
+void TasksEndUnderDifferentLeaders(ScenarioCluster& cluster);
+void LeaderCrashesWhileMachinesUnreachable(ScenarioCluster& cluster);
+void FastBootsWithLateWritesAndLeaderCrash(ScenarioCluster& cluster);
 
 }  // namespace magpie::testing
--- a/tests/fault_sweep.h
+++ b/tests/fault_sweep.h
@@ -14,7 +14,7 @@
   std::set<std::string> violations;  // names of the invariants that were violated
   std::set<std::string> faults;      // kinds of fault that the seed drew
   std::string fault_log;             // what was injected and when, for failure messages
-  std::size_t events = 0;
+  std::size_t event_count = 0;
 };
 
 // Runs one seed: a minute and a half of faults, then a quiet time after which all must be well.
--- a/tests/fault_sweep_test.cc
+++ b/tests/fault_sweep_test.cc
@@ -19,9 +19,9 @@
 TEST_P(FaultSweepTest, NoInvariantIsViolated) {
   std::uint64_t from = GetParam() * kSeedsPerShard + 1;
   std::uint64_t to = from + kSeedsPerShard - 1;
-  const char* by_hand = std::getenv("MAGPIE_SEEDS");
-  if (by_hand != nullptr) {
-    const std::string text = by_hand;
+  const char* manual_range = std::getenv("MAGPIE_SEEDS");
+  if (manual_range != nullptr) {
+    const std::string text = manual_range;
     const auto dots = text.find("..");
     from = std::stoull(text.substr(0, dots));
     to = std::stoull(text.substr(dots + 2));
@@ -35,41 +35,41 @@
     EXPECT_TRUE(result.violations.empty()) << "seed " << seed << ":" << violations << "\n"
                                            << result.fault_log;
     for (const std::string& fault : result.faults) ++faults[fault];
-    max_events = std::max(max_events, result.events);
+    max_events = std::max(max_events, result.event_count);
   }
-  if (by_hand == nullptr) return;
+  if (manual_range == nullptr) return;
   std::cout << "most events of a seed: " << max_events << "\n";
   for (const auto& [fault, seeds] : faults)
     std::cout << "seeds with " << fault << ": " << seeds << "\n";
 }
 
 // The result is the same every time: nothing depends on addresses or real clocks.
-TEST(FaultSweepDeterminismTest, SeedRunsTheSameAgain) {
+TEST(FaultSweepDeterminismTest, SameSeedGivesSameResult) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     DecisionDigest decisions_once;
     DecisionDigest decisions_again;
-    const SeedResult once = RunSeed(seed, BrokenBroadcast::kNone, &decisions_once);
-    const SeedResult again = RunSeed(seed, BrokenBroadcast::kNone, &decisions_again);
-    EXPECT_EQ(once.fault_log, again.fault_log);
-    EXPECT_EQ(once.events, again.events);
-    EXPECT_EQ(once.violations, again.violations);
+    const SeedResult first_run = RunSeed(seed, BrokenBroadcast::kNone, &decisions_once);
+    const SeedResult second_run = RunSeed(seed, BrokenBroadcast::kNone, &decisions_again);
+    EXPECT_EQ(first_run.fault_log, second_run.fault_log);
+    EXPECT_EQ(first_run.event_count, second_run.event_count);
+    EXPECT_EQ(first_run.violations, second_run.violations);
     EXPECT_EQ(decisions_once.value(), decisions_again.value());
   }
 }
 
-TEST(FaultSweepDeterminismTest, RecordingDecisionsChangesNothing) {
+TEST(FaultSweepDeterminismTest, RecordingDecisionsDoesNotChangeResult) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     DecisionDigest decisions;
     const SeedResult with = RunSeed(seed, BrokenBroadcast::kNone, &decisions);
     const SeedResult without = RunSeed(seed);
     EXPECT_EQ(with.fault_log, without.fault_log);
-    EXPECT_EQ(with.events, without.events);
+    EXPECT_EQ(with.event_count, without.event_count);
     EXPECT_EQ(with.violations, without.violations);
   }
 }
 
 // Each kind of decision is recorded, so that a change of any of them shows.
-TEST(FaultSweepDeterminismTest, TraceHasEveryKindOfDecision) {
+TEST(FaultSweepDeterminismTest, TraceContainsEveryDecisionKind) {
   std::ostringstream trace;
   DecisionDigest decisions(&trace);
   RunSeed(1, BrokenBroadcast::kNone, &decisions);
@@ -80,14 +80,14 @@
         << ToText(kind);
 }
 
-TEST(DecisionDigestTest, DependsOnEachPartAndOnTheOrder) {
+TEST(DecisionDigestTest, DigestDependsOnEachFieldAndOrder) {
   const Decision first{DecisionKind::kCommand, {1}, "n0", "m-1", "{}"};
-  std::vector<Decision> others(5, first);
-  others[0].kind = DecisionKind::kPeerMessage;
-  others[1].at = {1.0000000000000002};
-  others[2].sender = "n1";
-  others[3].receiver = "m-2";
-  others[4].body = "[]";
+  std::vector<Decision> variants(5, first);
+  variants[0].kind = DecisionKind::kPeerMessage;
+  variants[1].at = {1.0000000000000002};
+  variants[2].sender = "n1";
+  variants[3].receiver = "m-2";
+  variants[4].body = "[]";
   const auto digest_of = [](const std::vector<Decision>& decisions) {
     DecisionDigest digest;
     for (const Decision& decision : decisions) digest.Add(decision);
@@ -95,7 +95,7 @@
   };
   EXPECT_EQ(digest_of({first}), digest_of({first}));
   EXPECT_NE(digest_of({first}), digest_of({first, first}));
-  for (const Decision& other : others) {
+  for (const Decision& other : variants) {
     EXPECT_NE(digest_of({first}), digest_of({other}));
     EXPECT_NE(digest_of({first, other}), digest_of({other, first}));
   }
--- a/tests/fiber.h
+++ b/tests/fiber.h
@@ -20,12 +20,12 @@
 class Fiber {
  public:
   Fiber() : stack_(new char[kStackBytes]) {
-    getcontext(&own_);
-    own_.uc_stack.ss_sp = stack_.get();
-    own_.uc_stack.ss_size = kStackBytes;
-    own_.uc_link = nullptr;
+    getcontext(&fiber_context_);
+    fiber_context_.uc_stack.ss_sp = stack_.get();
+    fiber_context_.uc_stack.ss_size = kStackBytes;
+    fiber_context_.uc_link = nullptr;
     const auto self = reinterpret_cast<std::uintptr_t>(this);
-    makecontext(&own_, reinterpret_cast<void (*)()>(&Fiber::Enter), 2,
+    makecontext(&fiber_context_, reinterpret_cast<void (*)()>(&Fiber::Enter), 2,
                 static_cast<unsigned>(self >> 32U), static_cast<unsigned>(self));
   }
   Fiber(const Fiber&) = delete;
@@ -43,16 +43,16 @@
   // Goes on with work that waits.
   void Resume() {
     current_ = this;
-    Leaving(&test_stack_, stack_.get(), kStackBytes);
-    swapcontext(&test_, &own_);
-    Back(test_stack_, nullptr, nullptr);
+    StartSwitch(&caller_fake_stack_, stack_.get(), kStackBytes);
+    swapcontext(&caller_context_, &fiber_context_);
+    FinishSwitch(caller_fake_stack_, nullptr, nullptr);
     current_ = nullptr;
   }
   // Waits until it is resumed. Only from the fiber itself.
   void Wait() {
-    Leaving(&own_stack_, bottom_, size_);
-    swapcontext(&own_, &test_);
-    Back(own_stack_, &bottom_, &size_);
+    StartSwitch(&fiber_fake_stack_, caller_stack_bottom_, caller_stack_size_);
+    swapcontext(&fiber_context_, &caller_context_);
+    FinishSwitch(fiber_fake_stack_, &caller_stack_bottom_, &caller_stack_size_);
   }
 
  private:
@@ -60,7 +60,7 @@
 
   static void Enter(unsigned high, unsigned low) {
     auto* self = reinterpret_cast<Fiber*>((static_cast<std::uintptr_t>(high) << 32U) | low);
-    Back(nullptr, &self->bottom_, &self->size_);
+    FinishSwitch(nullptr, &self->caller_stack_bottom_, &self->caller_stack_size_);
     for (;;) {
       self->work_();
       self->work_ = nullptr;
@@ -69,33 +69,33 @@
   }
 
 #if defined(__SANITIZE_ADDRESS__)
-  static void Leaving(void** kept, const void* bottom, std::size_t size) {
-    __sanitizer_start_switch_fiber(kept, bottom, size);
+  static void StartSwitch(void** fake_stack, const void* bottom, std::size_t size) {
+    __sanitizer_start_switch_fiber(fake_stack, bottom, size);
   }
-  static void Back(void* kept, const void** bottom, std::size_t* size) {
-    __sanitizer_finish_switch_fiber(kept, bottom, size);
+  static void FinishSwitch(void* fake_stack, const void** bottom, std::size_t* size) {
+    __sanitizer_finish_switch_fiber(fake_stack, bottom, size);
   }
 #else
-  static void Leaving(void**, const void*, std::size_t) {}
-  static void Back(void*, const void**, std::size_t*) {}
+  static void StartSwitch(void**, const void*, std::size_t) {}
+  static void FinishSwitch(void*, const void**, std::size_t*) {}
 #endif
 
   static inline thread_local Fiber* current_ = nullptr;
 
   std::unique_ptr<char[]> stack_;
-  ucontext_t own_{};
-  ucontext_t test_{};
-  void* own_stack_ = nullptr;
-  void* test_stack_ = nullptr;
-  const void* bottom_ = nullptr;  // the test's stack, as the sanitizer knows it
-  std::size_t size_ = 0;
+  ucontext_t fiber_context_{};
+  ucontext_t caller_context_{};
+  void* fiber_fake_stack_ = nullptr;
+  void* caller_fake_stack_ = nullptr;
+  const void* caller_stack_bottom_ = nullptr;  // the test's stack, as the sanitizer knows it
+  std::size_t caller_stack_size_ = 0;
   std::function<void()> work_;
 };
 
 // Fibers that are used again and again.
 class FiberPool {
  public:
-  Fiber& Idle() {
+  Fiber& AcquireIdle() {
     for (const auto& fiber : fibers_)
       if (fiber->idle()) return *fiber;
     return *fibers_.emplace_back(std::make_unique<Fiber>());
--- a/tests/random_draw.h
+++ b/tests/random_draw.h
@@ -11,19 +11,19 @@
 namespace magpie::testing {
 
 // Own arithmetic, since the standard distributions differ between libraries.
-class Draw {
+class SeededRandom {
  public:
-  explicit Draw(std::uint64_t seed) : state_(seed) {}
+  explicit SeededRandom(std::uint64_t seed) : state_(seed) {}
   int Below(int n) { return static_cast<int>(Next() % static_cast<std::uint64_t>(n)); }
-  int Between(int a, int b) { return a + Below(b - a + 1); }
-  bool Chance(double p) { return Unit() < p; }
-  Seconds Time(double from, double to) { return {from + (to - from) * Unit()}; }
-  const std::string& Of(const std::vector<std::string>& all) {
-    return all[static_cast<std::size_t>(Below(static_cast<int>(all.size())))];
+  int Between(int min, int max) { return min + Below(max - min + 1); }
+  bool Chance(double probability) { return NextUnit() < probability; }
+  Seconds Duration(double from, double to) { return {from + (to - from) * NextUnit()}; }
+  const std::string& Pick(const std::vector<std::string>& items) {
+    return items[static_cast<std::size_t>(Below(static_cast<int>(items.size())))];
   }
 
  private:
-  double Unit() { return static_cast<double>(Next() >> 11U) * 0x1.0p-53; }
+  double NextUnit() { return static_cast<double>(Next() >> 11U) * 0x1.0p-53; }
   // SplitMix64.
   std::uint64_t Next() {
     state_ += 0x9e3779b97f4a7c15ULL;
--- a/tests/safety_check_test.cc
+++ b/tests/safety_check_test.cc
@@ -46,8 +46,8 @@
   std::map<std::string, int> violations;
   std::vector<std::uint64_t> found;
   std::uint64_t seeds_run = 0;
-  const bool first_alone = std::getenv("MAGPIE_FIRST") != nullptr;
-  for (std::uint64_t seed = from; seed <= to && !(first_alone && !found.empty()); ++seed) {
+  const bool stop_at_first = std::getenv("MAGPIE_FIRST") != nullptr;
+  for (std::uint64_t seed = from; seed <= to && !(stop_at_first && !found.empty()); ++seed) {
     ++seeds_run;
     const auto violated = ViolationsWithout(checks, seed);
     for (const std::string& invariant : violated) ++violations[invariant];
@@ -71,7 +71,7 @@
 class DisabledSafetyCheckTest : public ::testing::TestWithParam<DisabledCheck> {};
 
 // The first seeds that find them are in docs/notes/fault-combinations.md; the last is seed 49.
-TEST_P(DisabledSafetyCheckTest, IsDetectedByASeed) {
+TEST_P(DisabledSafetyCheckTest, IsDetectedByFixedSeeds) {
   constexpr std::uint64_t kSeeds = 60;
   bool found = false;
   for (std::uint64_t seed = 1; seed <= kSeeds && !found; ++seed)
--- a/tests/scenario_cluster.h
+++ b/tests/scenario_cluster.h
@@ -15,13 +15,13 @@
   using SimulatedCluster::SimulatedCluster;
 
   // A machine of this number, in the order in which they were added.
-  Machine& At(int number) { return *std::next(machines.begin(), number); }
+  Machine& MachineAt(int index) { return *std::next(machines.begin(), index); }
   std::string Follower() const {
     const std::string leader = Leader();
     return *std::find_if(labels.begin(), labels.end(),
                          [&](const std::string& label) { return label != leader && IsUp(label); });
   }
-  void BindToZone(const std::string& job, const std::string& zone,
+  void RestrictToZone(const std::string& job, const std::string& zone,
                   const std::string& team = "red") {
     job_overrides[job] = [zone, team](JobSpec& spec) {
       spec.zone = zone;
@@ -32,30 +32,30 @@
   // ---- Users
   // Asks, and submits once more, at every controller. What anybody is told is checked against
   // all that was told before (Tell); a known job is never new, malformed or impossible.
-  void PollEverywhere(const std::string& job) {
+  void PollAllControllers(const std::string& job) {
     for (const std::string& label : labels) {
       Poll(job, label);
       if (!IsUp(label)) continue;
-      const HttpResponse again =
+      const HttpResponse resubmission =
           controllers.at(label)->api.Submit(protocol::JobToRecord(Spec(job, jobs.at(job))).dump());
-      if (again.status == 201) violations.insert("accepted twice");
-      if (again.status == 400 || again.status == 422) violations.insert("forgotten");
-      CheckAnswer(job, again);
+      if (resubmission.status == 201) violations.insert("accepted twice");
+      if (resubmission.status == 400 || resubmission.status == 422) violations.insert("forgotten");
+      CheckAnswer(job, resubmission);
     }
     for (const std::string& label : labels)
       if (IsUp(label) && controllers.at(label)->api.Query("j-999999").status == 200)
         violations.insert("invented");
   }
   void SubmitAndPoll(const std::string& job, std::uint32_t tasks, const std::string& via) {
-    if (Submit(job, tasks, via)) PollEverywhere(job);
+    if (Submit(job, tasks, via)) PollAllControllers(job);
   }
   bool CancelAndPoll(const std::string& job, const std::string& via) {
-    const bool told = Cancel(job, via) == "withdrawn";
-    if (jobs.contains(job)) PollEverywhere(job);
-    return told;
+    const bool cancelled = Cancel(job, via) == "withdrawn";
+    if (jobs.contains(job)) PollAllControllers(job);
+    return cancelled;
   }
   // Repeats the cancellation, as users do, until an answer comes.
-  bool CancelInTime(const std::string& job, int seconds) {
+  bool CancelWithin(const std::string& job, int seconds) {
     for (int i = 0; i < seconds; ++i) {
       if (CancelAndPoll(job, labels[static_cast<std::size_t>(i) % labels.size()])) return true;
       StepOneSecond();
@@ -64,15 +64,15 @@
   }
 
   // ---- Tasks
-  void Complete(const TaskId& task) {
+  void CompleteTask(const TaskId& task) {
     for (Machine& machine : machines)
       if (!machine.removed && machine.worker.HasLiveTask(task)) {
         machine.worker.End(task, ExitReason::kDone);
         completed.insert(task);
       }
   }
-  void CompleteAll(const std::string& job) {
-    for (std::uint32_t i = 0; i < jobs.at(job); ++i) Complete({{job}, i});
+  void CompleteAllTasks(const std::string& job) {
+    for (std::uint32_t i = 0; i < jobs.at(job); ++i) CompleteTask({{job}, i});
   }
   // Tasks of jobs that are bound to a zone never run in another.
   void CheckZones() {
@@ -96,21 +96,21 @@
   // Keeps the number of machines of each zone, in place of the cloud.
   std::map<std::string, int> machines_per_zone{{"a", 2}, {"b", 2}};
   void ReplaceMachines() {
-    for (const auto& [zone, wanted] : machines_per_zone) {
-      const auto there =
+    for (const auto& [zone, target] : machines_per_zone) {
+      const auto present =
           std::count_if(machines.begin(), machines.end(), [&](const Machine& machine) {
             return !machine.removed && machine.worker.zone() == zone;
           });
-      for (auto n = there; n < wanted; ++n)
+      for (auto n = present; n < target; ++n)
         machines.emplace_back("m-" + std::to_string(++added_machines_), "small", zone)
             .lease_renewed = now;
     }
   }
 
   // ---- Faults
-  void ForMachines(const std::string& zone, const std::function<void(Machine&)>& act) {
+  void ForEachMachine(const std::string& zone, const std::function<void(Machine&)>& action) {
     for (Machine& machine : machines)
-      if (zone.empty() || machine.worker.zone() == zone) act(machine);
+      if (zone.empty() || machine.worker.zone() == zone) action(machine);
   }
   void KillMachine(Machine& machine) {
     machine.removed = true;
@@ -129,20 +129,20 @@
     StartController(leader);
   }
   // The zone's machines and this controller reach each other and nobody else.
-  void PartitionZone(const std::string& zone, const std::string& inside) {
-    PartitionController(inside);
-    controllers.at(inside)->store.refused = true;
-    ForMachines(zone, [](Machine& machine) { machine.partitioned = true; });
+  void PartitionZone(const std::string& zone, const std::string& inside_controller) {
+    PartitionController(inside_controller);
+    controllers.at(inside_controller)->store.refused = true;
+    ForEachMachine(zone, [](Machine& machine) { machine.partitioned = true; });
   }
-  void HealZone(const std::string& zone, const std::string& inside) {
+  void HealZone(const std::string& zone, const std::string& inside_controller) {
     partitions.clear();
-    controllers.at(inside)->store.refused = false;
-    ForMachines(zone, [](Machine& machine) { machine.partitioned = false; });
+    controllers.at(inside_controller)->store.refused = false;
+    ForEachMachine(zone, [](Machine& machine) { machine.partitioned = false; });
   }
   // A second inside the partition: the zone's machines send heartbeats to its controller.
-  void StepInsidePartition(const std::string& zone, const std::string& inside) {
-    ForMachines(zone, [&](Machine& machine) {
-      const HttpResponse response = controllers.at(inside)->heartbeat_handler.Handle(
+  void StepInsidePartition(const std::string& zone, const std::string& inside_controller) {
+    ForEachMachine(zone, [&](Machine& machine) {
+      const HttpResponse response = controllers.at(inside_controller)->heartbeat_handler.Handle(
           protocol::HeartbeatToJson(machine.worker.Snapshot()).dump(), HeartbeatRoute::kDirect);
       if (response.status != 200) return;
       const protocol::Json answer = protocol::Json::parse(response.body);
@@ -177,19 +177,19 @@
   // Empty if every accepted job is known to every controller and is over or runs all its tasks;
   // else what is wrong.
   std::string DescribeUnfinishedJobs() {
-    std::string left;
+    std::string unfinished;
     for (const auto& [job, tasks] : jobs)
       for (const std::string& label : labels) {
         const std::string state = Poll(job, label);
-        if (state.empty()) left += job + " is not answered by " + label + "; ";
+        if (state.empty()) unfinished += job + " is not answered by " + label + "; ";
         if (state == "done" || state == "withdrawn") continue;
         std::size_t ended = 0;
         for (std::uint32_t i = 0; i < tasks; ++i) ended += completed.contains({{job}, i}) ? 1 : 0;
         if (LiveTasks(job) + ended < tasks)
-          left += job + " runs " + std::to_string(LiveTasks(job)) + " of " +
+          unfinished += job + " runs " + std::to_string(LiveTasks(job)) + " of " +
                   std::to_string(tasks - ended) + "; ";
       }
-    return left;
+    return unfinished;
   }
 
  private:
--- a/tests/seed_run.cc
+++ b/tests/seed_run.cc
@@ -6,61 +6,61 @@
 namespace magpie::testing {
 namespace {
 
-constexpr Seconds kFaultTime{95};
-constexpr Seconds kQuietTime{50};
-constexpr Seconds kSweepCancel{30};
+constexpr Seconds kFaultPhase{95};
+constexpr Seconds kRecoveryPhase{50};
+constexpr Seconds kSweepCancelDeadline{30};
 constexpr std::size_t kSmallPageBytes = 900;
-constexpr std::size_t kUsualPageBytes = 15UL * 1024;
+constexpr std::size_t kDefaultPageBytes = 15UL * 1024;
 
 }  // namespace
 
 SeedRun::SeedRun(std::uint64_t seed, BrokenBroadcast broken_broadcast, DecisionDigest* decisions)
-    : draw_(seed),
+    : random_(seed),
       // Small pages are seldom written for others, so records of unbound tasks stay longer.
-      cluster_(broken_broadcast, 3, 7, draw_.Chance(0.5) ? kSmallPageBytes : kUsualPageBytes),
+      cluster_(broken_broadcast, 3, 7, random_.Chance(0.5) ? kSmallPageBytes : kDefaultPageBytes),
       labels_(cluster_.labels) {
   ThreadRandom().seed(seed);  // of pauses
   cluster_.decisions = decisions;
-  cluster_.cancel_deadline = kSweepCancel;
-  if (draw_.Chance(0.5)) cluster_.writes_per_s = 5;
-  cluster_.grants_rentals = draw_.Chance(0.5);
+  cluster_.cancel_deadline = kSweepCancelDeadline;
+  if (random_.Chance(0.5)) cluster_.writes_per_s = 5;
+  cluster_.grants_provisioning = random_.Chance(0.5);
   cluster_.max_events = 60000;
-  DescribeJobs();
+  ConfigureJobs();
   cluster_.inject_fault = [this](const std::string& label, bool write) {
-    return DrawStoreFault(label, write);
+    return RandomStoreFault(label, write);
   };
-  cluster_.command_latency = [this] { return draw_.Chance(0.2) ? draw_.Time(0, 0.8) : Seconds{}; };
-  cluster_.on_news = [this](const std::string& job) {
-    if (draw_.Chance(0.4)) PollEverywhereAtOnce(job);
+  cluster_.command_latency = [this] { return random_.Chance(0.2) ? random_.Duration(0, 0.8) : Seconds{}; };
+  cluster_.on_job_state_changed = [this](const std::string& job) {
+    if (random_.Chance(0.4)) PollAllControllersConcurrently(job);
   };
-  cluster_.StartDrawnTime(seed ^ 0x5eedULL);
+  cluster_.StartRandomizedSchedule(seed ^ 0x5eedULL);
 }
 
 SeedResult SeedRun::Run() {
   cluster_.Run({3});
-  for (const char* job : {"j-1", "j-2", "j-3", "j-4"}) job_sizes_[job] = 2 + DrawBit();
+  for (const char* job : {"j-1", "j-2", "j-3", "j-4"}) job_sizes_[job] = 2 + RandomBit();
   for (const char* job : {"j-5", "j-6", "j-8"}) job_sizes_[job] = 3;
   job_sizes_["j-10"] = 2;
-  RunUsersAndTasks();
+  RunWorkload();
   cluster_.Run({8});
-  for (const char* job : {"j-1", "j-2"}) cancel_at_[job] = cluster_.now + draw_.Time(2, 40);
-  if (draw_.Chance(0.2)) cancel_at_["j-6"] = cluster_.now + draw_.Time(2, 60);
+  for (const char* job : {"j-1", "j-2"}) cancel_at_[job] = cluster_.now + random_.Duration(2, 40);
+  if (random_.Chance(0.2)) cancel_at_["j-6"] = cluster_.now + random_.Duration(2, 60);
   InjectAfter({12}, "more work for the team at its limit", [this] { job_sizes_["j-7"] = 2; });
-  DrawFaults();
-  cluster_.Run(kFaultTime);
+  ScheduleRandomFaults();
+  cluster_.Run(kFaultPhase);
   ClearFaults();
-  cluster_.Run(kQuietTime);
-  PollEveryJobEverywhere();
+  cluster_.Run(kRecoveryPhase);
+  PollAllJobsAtAllControllers();
   result_.violations.insert(cluster_.violations.begin(), cluster_.violations.end());
   if (cluster_.stale_batches > 0) result_.violations.insert("stale");
-  result_.events = cluster_.events;
+  result_.event_count = cluster_.event_count;
   result_.fault_log += cluster_.violation_log;
   return std::move(result_);
 }
 
-std::uint32_t SeedRun::DrawBit() { return static_cast<std::uint32_t>(draw_.Below(2)); }
+std::uint32_t SeedRun::RandomBit() { return static_cast<std::uint32_t>(random_.Below(2)); }
 
-void SeedRun::DescribeJobs() {
+void SeedRun::ConfigureJobs() {
   cluster_.job_overrides["j-5"] = [](JobSpec& spec) {
     spec.team = "blue";
     spec.single_zone = true;
@@ -81,68 +81,68 @@
   };
 }
 
-void SeedRun::RunUsersAndTasks() {
+void SeedRun::RunWorkload() {
   if (workload_ended_) return;
   for (const auto& [job, tasks] : job_sizes_)
-    if (!cluster_.jobs.contains(job)) WithinASecond([=, this] { Submit(job); });
+    if (!cluster_.jobs.contains(job)) ScheduleWithinOneSecond([=, this] { Submit(job); });
   for (const auto& [job, from] : cancel_at_)
     if (cluster_.now >= from && !cluster_.acknowledged_cancellations.contains(job) &&
         !cluster_.reported_done.contains(job))
-      WithinASecond([=, this] { cluster_.CancelConcurrently(job, draw_.Of(labels_)); });
+      ScheduleWithinOneSecond([=, this] { cluster_.CancelConcurrently(job, random_.Pick(labels_)); });
   for (const auto& [job, tasks] : cluster_.jobs)
-    if (draw_.Chance(0.5))
-      WithinASecond([=, this] { cluster_.PollConcurrently(job, draw_.Of(labels_)); });
-  if (!cluster_.jobs.empty() && draw_.Chance(0.1)) {
-    const auto any =
-        std::next(cluster_.jobs.begin(), draw_.Below(static_cast<int>(cluster_.jobs.size())));
-    WithinASecond([=, this, job = any->first] { Submit(job); });
+    if (random_.Chance(0.5))
+      ScheduleWithinOneSecond([=, this] { cluster_.PollConcurrently(job, random_.Pick(labels_)); });
+  if (!cluster_.jobs.empty() && random_.Chance(0.1)) {
+    const auto chosen =
+        std::next(cluster_.jobs.begin(), random_.Below(static_cast<int>(cluster_.jobs.size())));
+    ScheduleWithinOneSecond([=, this, job = chosen->first] { Submit(job); });
   }
-  if (draw_.Chance(0.05))
-    WithinASecond(
-        [this] { cluster_.SubmitInvalidConcurrently(draw_.Below(5), draw_.Of(labels_)); });
-  if (!cluster_.store.outage && draw_.Chance(0.06)) {
-    NoteFault("late writes");
+  if (random_.Chance(0.05))
+    ScheduleWithinOneSecond(
+        [this] { cluster_.SubmitInvalidConcurrently(random_.Below(5), random_.Pick(labels_)); });
+  if (!cluster_.store.outage && random_.Chance(0.06)) {
+    RecordFault("late writes");
     cluster_.store.next_commit =
-        draw_.Chance(0.6) ? FakeStore::Fault::kCommitLate : FakeStore::Fault::kLoseResponse;
-    cluster_.ScheduleAfter(draw_.Time(2, 12), [this] {
+        random_.Chance(0.6) ? FakeStore::Fault::kCommitLate : FakeStore::Fault::kLoseResponse;
+    cluster_.ScheduleAfter(random_.Duration(2, 12), [this] {
       if (cluster_.store.has_delayed_transactions()) cluster_.store.DeliverDelayed();
     });
   }
-  for (Machine& machine : cluster_.machines) EndSomeTasks(machine);
-  cluster_.ScheduleAfter({1}, [this] { RunUsersAndTasks(); });
+  for (Machine& machine : cluster_.machines) EndRandomTasks(machine);
+  cluster_.ScheduleAfter({1}, [this] { RunWorkload(); });
 }
 
-void SeedRun::WithinASecond(std::function<void()> act) {
-  cluster_.ScheduleAfter(draw_.Time(0, 1), std::move(act));
+void SeedRun::ScheduleWithinOneSecond(std::function<void()> action) {
+  cluster_.ScheduleAfter(random_.Duration(0, 1), std::move(action));
 }
 
 void SeedRun::Submit(const std::string& job) {
-  cluster_.SubmitConcurrently(job, job_sizes_.at(job), draw_.Of(labels_));
+  cluster_.SubmitConcurrently(job, job_sizes_.at(job), random_.Pick(labels_));
 }
 
-void SeedRun::PollEverywhereAtOnce(const std::string& job) {
+void SeedRun::PollAllControllersConcurrently(const std::string& job) {
   for (const std::string& label : labels_)
-    cluster_.ScheduleAfter(draw_.Time(0, 0.01),
+    cluster_.ScheduleAfter(random_.Duration(0, 0.01),
                            [=, this] { cluster_.PollConcurrently(job, label); });
-  if (draw_.Chance(0.4)) cluster_.ScheduleAfter(draw_.Time(0, 0.01), [=, this] { Submit(job); });
+  if (random_.Chance(0.4)) cluster_.ScheduleAfter(random_.Duration(0, 0.01), [=, this] { Submit(job); });
 }
 
-void SeedRun::EndSomeTasks(Machine& machine) {
+void SeedRun::EndRandomTasks(Machine& machine) {
   if (machine.removed) return;
   const std::vector<TaskStatus> tasks = machine.worker.tasks();
   for (const TaskStatus& status : tasks) {
     if (status.state == TaskState::kEnded) continue;
     const std::string& job = status.task.job.value;
     const bool small = job.size() > 4;  // of SubmitManySmallJobs
-    const bool completes = job == "j-4" || job == "j-7" || (job == "j-5" && draw_.Chance(0.5));
+    const bool completes = job == "j-4" || job == "j-7" || (job == "j-5" && random_.Chance(0.5));
     if (completes || small) {
-      if (!draw_.Chance(small ? 0.3 : 0.04)) continue;
-      cluster_.ScheduleAfter(draw_.Time(0, 1),
+      if (!random_.Chance(small ? 0.3 : 0.04)) continue;
+      cluster_.ScheduleAfter(random_.Duration(0, 1),
                              [=, this, &machine] { CompleteTask(machine, status.task); });
     } else if (job == "j-3" || job == "j-5" || job == "j-6" || job == "j-8") {
-      if (!draw_.Chance(task_failure_rate_)) continue;
-      const ExitReason reason = draw_.Chance(0.5) ? ExitReason::kError : ExitReason::kStopped;
-      cluster_.ScheduleAfter(draw_.Time(0, 1), [=, this, &machine] {
+      if (!random_.Chance(task_failure_rate_)) continue;
+      const ExitReason reason = random_.Chance(0.5) ? ExitReason::kError : ExitReason::kStopped;
+      cluster_.ScheduleAfter(random_.Duration(0, 1), [=, this, &machine] {
         if (machine.removed || !machine.worker.HasLiveTask(status.task)) return;
         machine.worker.End(status.task, reason);
         cluster_.OnWorkerChanged(machine);
@@ -160,14 +160,14 @@
   for (std::uint32_t i = 0; i < job_sizes_[job]; ++i)
     if (!cluster_.completed.contains({{job}, i})) return;
   // The job's last task: a query, a repeat or a cancellation at the same moment.
-  if (draw_.Chance(0.4)) PollEverywhereAtOnce(job);
-  if (draw_.Chance(0.2))
-    cluster_.ScheduleAfter(draw_.Time(0, 0.6),
-                           [=, this] { cluster_.CancelConcurrently(job, draw_.Of(labels_)); });
+  if (random_.Chance(0.4)) PollAllControllersConcurrently(job);
+  if (random_.Chance(0.2))
+    cluster_.ScheduleAfter(random_.Duration(0, 0.6),
+                           [=, this] { cluster_.CancelConcurrently(job, random_.Pick(labels_)); });
 }
 
 void SeedRun::ClearFaults() {
-  slow_call_rate_ = lost_answer_rate_ = task_failure_rate_ = 0;
+  slow_call_rate_ = lost_response_rate_ = task_failure_rate_ = 0;
   cluster_.store.outage = false;
   cluster_.partitions.clear();
   cluster_.paused_until.clear();
@@ -186,7 +186,7 @@
   }
 }
 
-void SeedRun::PollEveryJobEverywhere() {
+void SeedRun::PollAllJobsAtAllControllers() {
   workload_ended_ = true;
   cluster_.Run({2});
   cluster_.inject_fault = nullptr;
@@ -194,9 +194,9 @@
     for (const std::string& label : labels_) {
       bool answered = false;
       for (int i = 0; i < 20 && !answered; ++i) {
-        cluster_.Request(
+        cluster_.SendUserRequest(
             label, [job](JobApi& api) { return api.Query(job); },
-            [&, known = cluster_.UserViewOf(job)](const HttpResponse& r) {
+            [&, known = cluster_.CurrentUserView(job)](const HttpResponse& r) {
               answered = r.status == 200;
               cluster_.CheckAnswer(job, known, r);
             });
--- a/tests/seed_run.h
+++ b/tests/seed_run.h
@@ -27,53 +27,53 @@
   enum class Connection { kReceivesNothing, kSendsNothing, kPartitioned };
   static const char* Describe(Connection connection);
 
-  std::uint32_t DrawBit();
-  void DescribeJobs();
+  std::uint32_t RandomBit();
+  void ConfigureJobs();
 
   // ---- The workload: what users and tasks do each second (seed_run.cc)
-  void RunUsersAndTasks();
-  void WithinASecond(std::function<void()> act);
+  void RunWorkload();
+  void ScheduleWithinOneSecond(std::function<void()> action);
   void Submit(const std::string& job);
   // Queries every controller within milliseconds, and may repeat the submission.
-  void PollEverywhereAtOnce(const std::string& job);
-  void EndSomeTasks(Machine& machine);
+  void PollAllControllersConcurrently(const std::string& job);
+  void EndRandomTasks(Machine& machine);
   void CompleteTask(Machine& machine, const TaskId& task);
 
   // ---- Single faults (seed_run_faults.cc)
-  InjectedFault DrawStoreFault(const std::string& label, bool write);
-  void InjectAfter(Seconds wait, const std::string& what, std::function<void()> act);
-  void NoteFault(const char* kind);
-  void Refuse(Seconds from, Seconds length, const std::string& label);
-  void StartOutage(Seconds from, Seconds length);
-  void Partition(Seconds from, Seconds length, const std::string& a, const std::string& b);
-  void RestartController(Seconds from, Seconds away, const std::string& label);
+  InjectedFault RandomStoreFault(const std::string& label, bool write);
+  void InjectAfter(Seconds wait, const std::string& description, std::function<void()> action);
+  void RecordFault(const char* kind);
+  void RefuseStoreCalls(Seconds from, Seconds length, const std::string& label);
+  void ScheduleOutage(Seconds from, Seconds length);
+  void PartitionControllers(Seconds from, Seconds length, const std::string& a, const std::string& b);
+  void RestartController(Seconds from, Seconds downtime, const std::string& label);
   void RestartLeader(Seconds from);
-  void RefuseLeader(Seconds from, Seconds length);
+  void RefuseLeaderStoreCalls(Seconds from, Seconds length);
   void PauseController(Seconds from, Seconds length, const std::string& label);
   void DelayCommands(Seconds from, Seconds length, double max_delay);
   void RepeatHeartbeats(Seconds from, Seconds length);
   // A new leader first receives copies of old heartbeats, in their order or not.
   void SendStaleHeartbeats();
-  Machine& AnyMachine();
+  Machine& RandomMachine();
   void Disconnect(Seconds from, Seconds length, Machine& machine, Connection connection);
-  Seconds DrawAboutALease();
+  Seconds RandomDurationNearLease();
   void KillMachine(Seconds from, Machine& machine);
   void RestartWorker(Seconds from, Machine& machine, bool loses_state);
   void SubmitManySmallJobs(Seconds from);
   void RestartAllControllers(Seconds from);
   void SlowHeartbeats(Seconds from, Seconds length, Machine& machine);
   void PartitionMachinesOfAZone(Seconds from);
-  void LimitRate(Seconds from, Seconds length);
+  void RateLimitStoreCalls(Seconds from, Seconds length);
   void SlowDownStore(Seconds from, Seconds length);
-  void LoseAnswers(Seconds from, Seconds length);
-  void CancelWhileMachinesHang(Seconds from, Seconds length);
+  void LoseWriteResponses(Seconds from, Seconds length);
+  void CancelWhileMachinesUnreachable(Seconds from, Seconds length);
   // The cloud will take the machine, or withdraws its notice.
-  void GivePreemptionNotice(Seconds from, Machine& machine);
+  void SendPreemptionNotice(Seconds from, Machine& machine);
 
   // ---- Combinations of faults (seed_run_combinations.cc)
   // Draws one combination, and up to five single faults beside it.
-  void DrawFaults();
-  void DrawFault();
+  void ScheduleRandomFaults();
+  void ScheduleRandomFault();
 
   // The key-value store refuses the leader alone, then all, while users cancel.
   void RefuseLeaderThenStartOutage();
@@ -97,13 +97,13 @@
 
   // The key-value store refuses the leader alone; its workers stay with it, bindings that it could
   // not yet start are on machines that get a preemption notice, and another leads.
-  void DeposeLeaderWithItsWorkers();
+  void DeposeLeaderKeepingWorkers();
 
   // Tasks move from machine to machine while responses take seconds.
-  void GiveNoticesWhileAnswersAreSlow();
+  void SendPreemptionNoticesDuringSlowHeartbeats();
 
   // Every controller is refused for longer than the leader's lease; the leader may be served first.
-  void RefuseAll();
+  void RefuseAllControllers();
 
   // A controller and the machines of its zone are partitioned from all else, and some users cancel
   // just before; the controller renews the leases, also after it restarted.
@@ -113,9 +113,9 @@
   void ClearFaults();
 
   // Every controller must know every job, and answer no less than users already know.
-  void PollEveryJobEverywhere();
+  void PollAllJobsAtAllControllers();
 
-  Draw draw_;
+  SeededRandom random_;
   SimulatedCluster cluster_;
   const std::vector<std::string>& labels_;
   SeedResult result_;
@@ -123,7 +123,7 @@
   std::map<std::string, Instant> cancel_at_;
   double task_failure_rate_ = 0.01;  // share of the tasks that may fail, per second
   double slow_call_rate_ = 0;        // share of the calls
-  double lost_answer_rate_ = 0;      // share of the writes
+  double lost_response_rate_ = 0;      // share of the writes
   bool workload_ended_ = false;
 };
 
--- a/tests/seed_run_faults.cc
+++ b/tests/seed_run_faults.cc
@@ -7,35 +7,35 @@
 
 namespace magpie::testing {
 
-InjectedFault SeedRun::DrawStoreFault(const std::string& label, bool write) {
-  InjectedFault fate;
-  if (draw_.Chance(slow_call_rate_)) {
-    fate.request_delay = draw_.Time(0, 1);
-    fate.response_delay = draw_.Time(0, 1);
-    fate.response_lost = fate.request_delay.value + fate.response_delay.value > 1.5;
-  } else if (draw_.Chance(0.1)) {
-    (draw_.Chance(0.5) ? fate.request_delay : fate.response_delay) = draw_.Time(0, 0.1);
+InjectedFault SeedRun::RandomStoreFault(const std::string& label, bool write) {
+  InjectedFault fault;
+  if (random_.Chance(slow_call_rate_)) {
+    fault.request_delay = random_.Duration(0, 1);
+    fault.response_delay = random_.Duration(0, 1);
+    fault.response_lost = fault.request_delay.value + fault.response_delay.value > 1.5;
+  } else if (random_.Chance(0.1)) {
+    (random_.Chance(0.5) ? fault.request_delay : fault.response_delay) = random_.Duration(0, 0.1);
   }
-  if (write && draw_.Chance(lost_answer_rate_)) {
-    fate.response_lost = true;
-    if (draw_.Chance(0.15)) Refuse(draw_.Time(0, 1), draw_.Time(5, 20), label);
+  if (write && random_.Chance(lost_response_rate_)) {
+    fault.response_lost = true;
+    if (random_.Chance(0.15)) RefuseStoreCalls(random_.Duration(0, 1), random_.Duration(5, 20), label);
   }
-  return fate;
+  return fault;
 }
 
-void SeedRun::InjectAfter(Seconds wait, const std::string& what, std::function<void()> act) {
-  cluster_.ScheduleAfter(wait, [this, what, act = std::move(act)] {
-    std::array<char, 24> when{};
-    std::snprintf(when.data(), when.size(), "%7.2f s: ", cluster_.now.value - 100);
-    result_.fault_log += when.data() + what + "\n";
-    act();
+void SeedRun::InjectAfter(Seconds wait, const std::string& description, std::function<void()> action) {
+  cluster_.ScheduleAfter(wait, [this, description, action = std::move(action)] {
+    std::array<char, 24> timestamp{};
+    std::snprintf(timestamp.data(), timestamp.size(), "%7.2f s: ", cluster_.now.value - 100);
+    result_.fault_log += timestamp.data() + description + "\n";
+    action();
   });
 }
 
-void SeedRun::NoteFault(const char* kind) { result_.faults.insert(kind); }
+void SeedRun::RecordFault(const char* kind) { result_.faults.insert(kind); }
 
-void SeedRun::Refuse(Seconds from, Seconds length, const std::string& label) {
-  NoteFault("refused");
+void SeedRun::RefuseStoreCalls(Seconds from, Seconds length, const std::string& label) {
+  RecordFault("refused");
   InjectAfter(from, "the state service refuses " + label, [=, this] {
     if (cluster_.controllers.contains(label)) cluster_.controllers.at(label)->store.refused = true;
   });
@@ -44,22 +44,22 @@
   });
 }
 
-void SeedRun::StartOutage(Seconds from, Seconds length) {
-  NoteFault("outage");
+void SeedRun::ScheduleOutage(Seconds from, Seconds length) {
+  RecordFault("outage");
   InjectAfter(from, "outage", [this] { cluster_.store.outage = true; });
   InjectAfter(from + length, "its end", [this] { cluster_.store.outage = false; });
 }
 
-void SeedRun::Partition(Seconds from, Seconds length, const std::string& a, const std::string& b) {
-  NoteFault("partition");
+void SeedRun::PartitionControllers(Seconds from, Seconds length, const std::string& a, const std::string& b) {
+  RecordFault("partition");
   InjectAfter(from, a + " can't reach " + b, [=, this] { cluster_.partitions.insert({a, b}); });
   InjectAfter(from + length, a + " reaches " + b, [=, this] { cluster_.partitions.erase({a, b}); });
 }
 
-void SeedRun::RestartController(Seconds from, Seconds away, const std::string& label) {
-  NoteFault("crash");
+void SeedRun::RestartController(Seconds from, Seconds downtime, const std::string& label) {
+  RecordFault("crash");
   InjectAfter(from, label + " ends", [=, this] { cluster_.StopController(label); });
-  InjectAfter(from + away, label + " is back", [=, this] {
+  InjectAfter(from + downtime, label + " is back", [=, this] {
     if (!cluster_.controllers.contains(label)) cluster_.StartController(label);
   });
 }
@@ -69,33 +69,33 @@
     const std::string leader = cluster_.Leader();
     if (leader.empty()) return;
     cluster_.StopController(leader);
-    const Seconds away = draw_.Chance(0.6) ? Seconds{0} : draw_.Time(0, 6);
-    cluster_.ScheduleAfter(away, [=, this] {
+    const Seconds downtime = random_.Chance(0.6) ? Seconds{0} : random_.Duration(0, 6);
+    cluster_.ScheduleAfter(downtime, [=, this] {
       if (!cluster_.controllers.contains(leader)) cluster_.StartController(leader);
     });
   });
 }
 
-void SeedRun::RefuseLeader(Seconds from, Seconds length) {
+void SeedRun::RefuseLeaderStoreCalls(Seconds from, Seconds length) {
   InjectAfter(from, "the leader is refused", [=, this] {
     const std::string leader = cluster_.Leader();
-    if (!leader.empty()) Refuse({}, length, leader);
+    if (!leader.empty()) RefuseStoreCalls({}, length, leader);
   });
 }
 
 void SeedRun::PauseController(Seconds from, Seconds length, const std::string& label) {
-  NoteFault("paused");
+  RecordFault("paused");
   InjectAfter(from, label + " is paused",
               [=, this] { cluster_.paused_until[label] = cluster_.now + length; });
 }
 
 void SeedRun::DelayCommands(Seconds from, Seconds length, double max_delay) {
-  NoteFault("delayed commands");
+  RecordFault("delayed commands");
   InjectAfter(from, "commands are delayed for up to " + std::to_string(max_delay) + " s",
               [=, this] {
                 cluster_.delay_command = [=, this]() -> std::optional<Instant> {
-                  if (!draw_.Chance(0.7)) return std::nullopt;
-                  return cluster_.now + draw_.Time(1, max_delay);
+                  if (!random_.Chance(0.7)) return std::nullopt;
+                  return cluster_.now + random_.Duration(1, max_delay);
                 };
               });
   InjectAfter(from + length, "and are not",
@@ -103,11 +103,11 @@
 }
 
 void SeedRun::RepeatHeartbeats(Seconds from, Seconds length) {
-  NoteFault("late heartbeats");
+  RecordFault("late heartbeats");
   InjectAfter(from, "heartbeats come again", [this] {
     cluster_.repeat_heartbeat = [this]() -> std::optional<std::pair<Instant, std::string>> {
-      if (!draw_.Chance(0.3)) return std::nullopt;
-      return std::pair(cluster_.now + draw_.Time(2, 60), draw_.Of(labels_));
+      if (!random_.Chance(0.3)) return std::nullopt;
+      return std::pair(cluster_.now + random_.Duration(2, 60), random_.Pick(labels_));
     };
   });
   InjectAfter(from + length, "and do not",
@@ -115,33 +115,33 @@
 }
 
 void SeedRun::SendStaleHeartbeats() {
-  NoteFault("stale heartbeats");
+  RecordFault("stale heartbeats");
   cluster_.on_leader_loading = [this] {
     for (Machine& machine : cluster_.machines) {
-      if (machine.sent_heartbeats.empty() || !draw_.Chance(0.5)) continue;
-      std::vector<int> which;
-      for (int i = draw_.Between(1, 3); i > 0; --i)
-        which.push_back(draw_.Below(static_cast<int>(machine.sent_heartbeats.size())));
+      if (machine.sent_heartbeats.empty() || !random_.Chance(0.5)) continue;
+      std::vector<int> indices;
+      for (int i = random_.Between(1, 3); i > 0; --i)
+        indices.push_back(random_.Below(static_cast<int>(machine.sent_heartbeats.size())));
       // Often an earlier one and the latest: those of two agent epochs, or of two terms.
-      if (draw_.Chance(0.5))
-        which = {which.front(), static_cast<int>(machine.sent_heartbeats.size()) - 1};
-      std::vector<int> of_ends;
+      if (random_.Chance(0.5))
+        indices = {indices.front(), static_cast<int>(machine.sent_heartbeats.size()) - 1};
+      std::vector<int> with_ended_tasks;
       for (std::size_t i = 0; i < machine.sent_heartbeats.size(); ++i)
         if (machine.sent_heartbeats[i].find("\"ended\"") != std::string::npos)
-          of_ends.push_back(static_cast<int>(i));
-      if (!of_ends.empty() && draw_.Chance(0.5))
-        which = {of_ends[static_cast<std::size_t>(draw_.Below(static_cast<int>(of_ends.size())))]};
-      if (draw_.Chance(0.8)) std::sort(which.begin(), which.end());
-      for (const int i : which)
+          with_ended_tasks.push_back(static_cast<int>(i));
+      if (!with_ended_tasks.empty() && random_.Chance(0.5))
+        indices = {with_ended_tasks[static_cast<std::size_t>(random_.Below(static_cast<int>(with_ended_tasks.size())))]};
+      if (random_.Chance(0.8)) std::sort(indices.begin(), indices.end());
+      for (const int i : indices)
         for (const std::string& label : labels_)
           cluster_.RepeatHeartbeat(machine.sent_heartbeats[static_cast<std::size_t>(i)], label);
     }
   };
 }
 
-SeedRun::Machine& SeedRun::AnyMachine() {
+SeedRun::Machine& SeedRun::RandomMachine() {
   return *std::next(cluster_.machines.begin(),
-                    draw_.Below(static_cast<int>(cluster_.machines.size())));
+                    random_.Below(static_cast<int>(cluster_.machines.size())));
 }
 
 const char* SeedRun::Describe(Connection connection) {
@@ -167,13 +167,13 @@
   });
 }
 
-Seconds SeedRun::DrawAboutALease() {
+Seconds SeedRun::RandomDurationNearLease() {
   static constexpr std::array<double, 6> kTimes{0.8, 1, 1.1, 1.2, 1.4, 2};
-  return kTimes.at(static_cast<std::size_t>(draw_.Below(6))) * kTestLease;
+  return kTimes.at(static_cast<std::size_t>(random_.Below(6))) * kTestLease;
 }
 
 void SeedRun::KillMachine(Seconds from, Machine& machine) {
-  NoteFault("dead");
+  RecordFault("dead");
   InjectAfter(from, machine.worker.id().value + " dies", [this, &machine] {
     if (machine.removed || &machine == &cluster_.machines.front()) return;  // one stays
     machine.removed = true;
@@ -182,7 +182,7 @@
 }
 
 void SeedRun::RestartWorker(Seconds from, Machine& machine, bool loses_state) {
-  NoteFault("restart");
+  RecordFault("restart");
   InjectAfter(from,
               machine.worker.id().value + (loses_state ? " loses its state" : " loses its tasks"),
               [this, &machine, loses_state] {
@@ -196,25 +196,25 @@
 }
 
 void SeedRun::SubmitManySmallJobs(Seconds from) {
-  NoteFault("many small jobs");
+  RecordFault("many small jobs");
   for (int i = 0; i < 25; ++i)
     cluster_.ScheduleAfter(from + Seconds{0.25 * i}, [this, job = "j-" + std::to_string(100 + i)] {
       job_sizes_[job] = 1;
       Submit(job);
-      if (draw_.Chance(0.25)) cancel_at_[job] = cluster_.now + draw_.Time(0, 5);
+      if (random_.Chance(0.25)) cancel_at_[job] = cluster_.now + random_.Duration(0, 5);
     });
 }
 
-void SeedRun::GivePreemptionNotice(Seconds from, Machine& machine) {
-  NoteFault("notice");
+void SeedRun::SendPreemptionNotice(Seconds from, Machine& machine) {
+  RecordFault("notice");
   InjectAfter(from, machine.worker.id().value + " gets its notice", [this, &machine] {
     machine.worker.SetPreemptionNotice({25});
     cluster_.OnWorkerChanged(machine);
   });
-  if (draw_.Chance(0.5))
+  if (random_.Chance(0.5))
     KillMachine(from + Seconds{25}, machine);
   else
-    InjectAfter(from + draw_.Time(2, 20), machine.worker.id().value + " may stay",
+    InjectAfter(from + random_.Duration(2, 20), machine.worker.id().value + " may stay",
                 [this, &machine] {
                   machine.worker.ClearPreemptionNotice();
                   cluster_.OnWorkerChanged(machine);
@@ -222,31 +222,31 @@
 }
 
 void SeedRun::RestartAllControllers(Seconds from) {
-  NoteFault("all crash");
+  RecordFault("all crash");
   for (const std::string& label : labels_)
-    RestartController(from + draw_.Time(0, 2),
-                      draw_.Chance(0.3) ? 1.3 * kTestLease : draw_.Time(0, 7), label);
+    RestartController(from + random_.Duration(0, 2),
+                      random_.Chance(0.3) ? 1.3 * kTestLease : random_.Duration(0, 7), label);
 }
 
 void SeedRun::SlowHeartbeats(Seconds from, Seconds length, Machine& machine) {
-  NoteFault("slow heartbeats");
+  RecordFault("slow heartbeats");
   InjectAfter(from, "a machine is answered slowly", [&machine] { machine.slow_heartbeats = true; });
   InjectAfter(from + length, "and at once", [&machine] { machine.slow_heartbeats = false; });
 }
 
 void SeedRun::PartitionMachinesOfAZone(Seconds from) {
-  NoteFault("zone partition");
-  const std::string zone = draw_.Chance(0.5) ? "a" : "b";
-  const Seconds length = DrawAboutALease();
+  RecordFault("zone partition");
+  const std::string zone = random_.Chance(0.5) ? "a" : "b";
+  const Seconds length = RandomDurationNearLease();
   for (Machine& machine : cluster_.machines)
     if (machine.worker.zone() == zone) Disconnect(from, length, machine, Connection::kPartitioned);
 }
 
-void SeedRun::LimitRate(Seconds from, Seconds length) {
-  NoteFault("429s");
+void SeedRun::RateLimitStoreCalls(Seconds from, Seconds length) {
+  RecordFault("429s");
   InjectAfter(from, "a third of the calls are too many", [this] {
     for (auto& [label, controller] : cluster_.controllers)
-      controller->store.rate_limited = [this] { return draw_.Chance(0.3); };
+      controller->store.rate_limited = [this] { return random_.Chance(0.3); };
   });
   InjectAfter(from + length, "and none are", [this] {
     for (auto& [label, controller] : cluster_.controllers)
@@ -255,23 +255,23 @@
 }
 
 void SeedRun::SlowDownStore(Seconds from, Seconds length) {
-  NoteFault("slow store");
+  RecordFault("slow store");
   InjectAfter(from, "the key-value store is slow", [this] { slow_call_rate_ = 0.5; });
   InjectAfter(from + length, "and is not", [this] { slow_call_rate_ = 0; });
 }
 
-void SeedRun::LoseAnswers(Seconds from, Seconds length) {
-  NoteFault("answers lost");
-  InjectAfter(from, "answers of writes are lost", [this] { lost_answer_rate_ = 0.5; });
-  InjectAfter(from + length, "and are not", [this] { lost_answer_rate_ = 0; });
+void SeedRun::LoseWriteResponses(Seconds from, Seconds length) {
+  RecordFault("answers lost");
+  InjectAfter(from, "answers of writes are lost", [this] { lost_response_rate_ = 0.5; });
+  InjectAfter(from + length, "and are not", [this] { lost_response_rate_ = 0; });
 }
 
-void SeedRun::CancelWhileMachinesHang(Seconds from, Seconds length) {
-  NoteFault("cancelled while machines hang");
+void SeedRun::CancelWhileMachinesUnreachable(Seconds from, Seconds length) {
+  RecordFault("cancelled while machines hang");
   InjectAfter(from, "users cancel at once, and machines hang", [this, length] {
     cancel_at_["j-3"] = cancel_at_["j-6"] = cancel_at_["j-10"] = cluster_.now;
     for (Machine& machine : cluster_.machines)
-      if (draw_.Chance(0.4)) Disconnect({}, length, machine, Connection::kPartitioned);
+      if (random_.Chance(0.4)) Disconnect({}, length, machine, Connection::kPartitioned);
   });
 }
 
--- a/tests/simulated_cluster.cc
+++ b/tests/simulated_cluster.cc
@@ -18,14 +18,14 @@
 
 void SimulatedCluster::StartController(const std::string& label) {
   controllers[label] =
-      std::make_unique<SimulatedController>(*this, label, label + "-" + std::to_string(++nonces));
-  if (draw) controllers[label]->StartLoops();
+      std::make_unique<SimulatedController>(*this, label, label + "-" + std::to_string(++last_nonce));
+  if (random) controllers[label]->StartLoops();
 }
 
 void SimulatedCluster::StopController(const std::string& label) {
   if (auto it = controllers.find(label); it != controllers.end()) {
     it->second->End();
-    for (const auto& [lease, at] : it->second->store.renewed_leases) orphaned_leases[lease] = at;
+    for (const auto& [lease, renewed] : it->second->store.renewed_leases) orphaned_leases[lease] = renewed;
     controllers.erase(it);
   }
 }
@@ -41,12 +41,12 @@
   return {};
 }
 
-bool SimulatedCluster::Reaches(const std::string& from, const std::string& to) const {
+bool SimulatedCluster::CanReach(const std::string& from, const std::string& to) const {
   return !partitions.contains({from, to});
 }
 
-void SimulatedCluster::StartDrawnTime(std::uint64_t seed) {
-  draw.emplace(seed);
+void SimulatedCluster::StartRandomizedSchedule(std::uint64_t seed) {
+  random.emplace(seed);
   // With the options as they are by now.
   for (const std::string& label : labels) {
     controllers.erase(label);
@@ -56,15 +56,15 @@
   ScheduleLeaseExpiry();
 }
 
-void SimulatedCluster::ScheduleAt(Instant when, std::function<void()> act) {
+void SimulatedCluster::ScheduleAt(Instant due, std::function<void()> action) {
   // Close to each other, the order is drawn.
-  scheduled_.emplace(std::max(when, now), std::move(act));
+  scheduled_.emplace(std::max(due, now), std::move(action));
 }
 
 void SimulatedCluster::Run(Seconds length) {
   const Instant until = now + length;
   while (!scheduled_.empty() && scheduled_.begin()->first <= until) {
-    if (++events > max_events) {
+    if (++event_count > max_events) {
       violations.insert("endless");
       return;
     }
@@ -72,7 +72,7 @@
     wall.value += (next.key() - now).value;
     now = next.key();
     next.mapped()();
-    if (std::exchange(changed_, false)) CheckInvariants();
+    if (std::exchange(invariants_stale_, false)) CheckInvariants();
   }
   wall.value += (until - now).value;
   now = until;
@@ -102,12 +102,12 @@
     it = delayed_commands.erase(it);
   }
   for (auto it = repeated_heartbeats.begin(); it != repeated_heartbeats.end();) {
-    const auto& [when, where, what] = *it;
-    if (now < when) {
+    const auto& [due, destination, body] = *it;
+    if (now < due) {
       ++it;
       continue;
     }
-    if (IsUp(where)) Heartbeat(where, what);  // nobody hears the answer
+    if (IsUp(destination)) Heartbeat(destination, body);  // nobody hears the answer
     it = repeated_heartbeats.erase(it);
   }
   for (Machine& machine : machines) StepWorker(machine);
@@ -119,30 +119,30 @@
 }
 
 void SimulatedCluster::CheckInvariants() {
-  std::set<TaskId> live;
-  std::map<std::string, double> use;
+  std::set<TaskId> live_tasks;
+  std::map<std::string, double> cpus_by_team;
   std::map<std::string, std::map<std::string, std::uint32_t>> tasks_by_zone;
   for (const Machine& machine : machines) {
     if (machine.removed) continue;
-    for (const TaskStatus& t : machine.worker.tasks()) {
-      if (t.state == TaskState::kEnded) continue;
-      const std::string& job = t.task.job.value;
-      if (!live.insert(t.task).second && violations.insert("ran_twice").second)
-        violation_log += std::to_string(now.value - 100) + " s: " + protocol::TaskIdToText(t.task) +
-                         " runs twice, attempt " + std::to_string(t.attempt.value) + " on " +
+    for (const TaskStatus& status : machine.worker.tasks()) {
+      if (status.state == TaskState::kEnded) continue;
+      const std::string& job = status.task.job.value;
+      if (!live_tasks.insert(status.task).second && violations.insert("ran_twice").second)
+        violation_log += std::to_string(now.value - 100) + " s: " + protocol::TaskIdToText(status.task) +
+                         " runs twice, attempt " + std::to_string(status.attempt.value) + " on " +
                          machine.worker.id().value + "\n";
       if (!job_overrides.contains(job)) continue;
       const JobSpec& spec = SubmittedSpec(job);
-      use[spec.team] += spec.per_task.cpus;
-      const std::uint32_t here = ++tasks_by_zone[job][machine.worker.zone()];
-      if (here > MaxTasksPerZone(spec) || (spec.single_zone && tasks_by_zone[job].size() > 1) ||
+      cpus_by_team[spec.team] += spec.per_task.cpus;
+      const std::uint32_t tasks_in_zone = ++tasks_by_zone[job][machine.worker.zone()];
+      if (tasks_in_zone > MaxTasksPerZone(spec) || (spec.single_zone && tasks_by_zone[job].size() > 1) ||
           (spec.zone && *spec.zone != machine.worker.zone()))
         violations.insert("wrong_place");
     }
   }
-  if (use["blue"] > kBlueTeamCpuLimit) violations.insert("quota");
-  for (const auto& [job, at] : acknowledged_cancellations)
-    if (now - at > cancel_deadline && LiveTasks(job) > 0) violations.insert("ran_cancelled");
+  if (cpus_by_team["blue"] > kBlueTeamCpuLimit) violations.insert("quota");
+  for (const auto& [job, renewed] : acknowledged_cancellations)
+    if (now - renewed > cancel_deadline && LiveTasks(job) > 0) violations.insert("ran_cancelled");
 }
 
 void SimulatedCluster::ScheduleLeaseExpiry() {
@@ -156,8 +156,8 @@
   // Once an outage ends, every lease has its full time again.
   if (store.outage) {
     for (auto& [label, run] : controllers)
-      for (auto& [lease, at] : run->store.renewed_leases) at = now;
-    for (auto& [lease, at] : orphaned_leases) at = now;
+      for (auto& [lease, renewed] : run->store.renewed_leases) renewed = now;
+    for (auto& [lease, renewed] : orphaned_leases) renewed = now;
     return;
   }
   const auto expire = [&](std::map<std::uint64_t, Instant>& leases) {
--- a/tests/simulated_cluster.h
+++ b/tests/simulated_cluster.h
@@ -35,9 +35,9 @@
 // Defects of the cancellation broadcast that a test can choose, to show that the sweep finds them.
 enum class BrokenBroadcast {
   kNone,
-  kAsksNoPeer,              // users are answered as soon as the cancellation is durable
-  kAsksOnePeerOnly,         // one of the other controllers suffices
-  kForgetsAcknowledgement,  // a peer acknowledges without recording the cancellation
+  kNotifiesNoPeer,              // users are answered as soon as the cancellation is durable
+  kNotifiesOnePeer,         // one of the other controllers suffices
+  kAcknowledgesWithoutRecording,  // a peer acknowledges without recording the cancellation
 };
 
 // Controllers, machines, users and the key-value store, with the faults injected into them and the
@@ -90,17 +90,17 @@
   bool IsPaused(const std::string& label) const;
   // The label of the controller that leads and has loaded its records; empty: none.
   std::string Leader() const;
-  bool Reaches(const std::string& from, const std::string& to) const;
+  bool CanReach(const std::string& from, const std::string& to) const;
 
   // ---- Drawn time
   // From now on everything happens at instants drawn from `seed`.
-  void StartDrawnTime(std::uint64_t seed);
-  void ScheduleAt(Instant when, std::function<void()> act);
-  void ScheduleAfter(Seconds wait, std::function<void()> act) {
-    ScheduleAt(now + wait, std::move(act));
+  void StartRandomizedSchedule(std::uint64_t seed);
+  void ScheduleAt(Instant when, std::function<void()> action);
+  void ScheduleAfter(Seconds wait, std::function<void()> action) {
+    ScheduleAt(now + wait, std::move(action));
   }
   // Runs `act` on a fiber, so that it may wait.
-  void Spawn(std::function<void()> act) { fibers_.Idle().Run(std::move(act)); }
+  void Spawn(std::function<void()> action) { fibers_.AcquireIdle().Run(std::move(action)); }
   // Carries out what is scheduled within `length`.
   void Run(Seconds length);
   ~SimulatedCluster();
@@ -118,7 +118,7 @@
     bool cancelled = false;
     bool done = false;
   };
-  UserView UserViewOf(const std::string& job) const;
+  UserView CurrentUserView(const std::string& job) const;
   // The state in an answer to a user, checked against the users' view; empty: there is none.
   std::string CheckAnswer(const std::string& job, const HttpResponse& response);
   std::string CheckAnswer(const std::string& job, const UserView& known,
@@ -127,8 +127,8 @@
   std::string Poll(const std::string& job, const std::string& via);
 
   // The same in drawn time: others act while the request is in progress.
-  void Request(const std::string& via, const std::function<HttpResponse(JobApi&)>& ask,
-               const std::function<void(const HttpResponse&)>& take);
+  void SendUserRequest(const std::string& via, const std::function<HttpResponse(JobApi&)>& send,
+               const std::function<void(const HttpResponse&)>& on_response);
   void PollConcurrently(const std::string& job, const std::string& via);
   void CancelConcurrently(const std::string& job, const std::string& via);
   void SubmitConcurrently(const std::string& job, std::uint32_t tasks, const std::string& via);
@@ -139,7 +139,7 @@
   // Where everything that controllers send is recorded; null: nowhere.
   DecisionDigest* decisions = nullptr;
   static constexpr const char* kUser = "user";
-  static constexpr const char* kStateService = "state";
+  static constexpr const char* kKeyValueStore = "state";
   static constexpr const char* kCloud = "cloud";
   // `make_body` is called only if there is a digest.
   template <typename MakeBody>
@@ -202,20 +202,20 @@
     return std::nullopt;
   };
   // ---- Drawn time
-  std::optional<Draw> draw;  // none: the fixed order
-  std::size_t events = 0;
+  std::optional<SeededRandom> random;  // none: the fixed order
+  std::size_t event_count = 0;
   std::string violation_log;        // when a task first ran twice, for failure messages
   std::size_t max_events = 200000;  // of a whole run: more is "endless"
   std::function<InjectedFault(const std::string& label, bool write)> inject_fault;
-  std::function<void(const std::string& job)> on_news;  // accepted, cancelled or done
+  std::function<void(const std::string& job)> on_job_state_changed;  // accepted, cancelled or done
   std::function<void()> on_leader_loading;  // just before and after it reads the records
   // How long a direct command, or its answer, takes; less than the timeout.
   std::function<Seconds()> command_latency = [] { return Seconds{}; };
   std::map<std::string, std::uint32_t> submitted;  // whether or not it was answered
-  bool grants_rentals = false;                     // rentals are granted, and up within two seconds
+  bool grants_provisioning = false;                     // rentals are granted, and up within two seconds
   Seconds cancel_deadline = kTestCancelDeadline;
   double writes_per_s = 1e9;  // of a leader
-  int nonces = 0;
+  int last_nonce = 0;
   int stale_batches = 0;  // how often a leader's view of its pages was wrong
 
   // A copy of an earlier heartbeat arrives at a controller; its answer is lost.
@@ -225,7 +225,7 @@
   void ScheduleWorker(Machine& machine);
 
   // Adds a machine that was rented in drawn time.
-  MachineId AddRentedMachine(const std::string& name, const std::string& zone, bool spot);
+  MachineId AddProvisionedMachine(const std::string& name, const std::string& zone, bool spot);
 
  private:
   const JobSpec& SubmittedSpec(const std::string& job);
@@ -244,7 +244,7 @@
   static constexpr Seconds kHeartbeatTimeout{4};
   std::multimap<Instant, std::function<void()>> scheduled_;
   FiberPool fibers_;
-  bool changed_ = false;
+  bool invariants_stale_ = false;
   std::map<std::string, JobSpec> submitted_specs_;
 
   // A leader that just began receives earlier heartbeats (stale_first_heartbeat).
--- a/tests/simulated_cluster_users.cc
+++ b/tests/simulated_cluster_users.cc
@@ -24,13 +24,13 @@
   return status == 200 || status == 201;
 }
 
-SimulatedCluster::UserView SimulatedCluster::UserViewOf(const std::string& job) const {
+SimulatedCluster::UserView SimulatedCluster::CurrentUserView(const std::string& job) const {
   return {jobs.contains(job), acknowledged_cancellations.contains(job),
           reported_done.contains(job)};
 }
 
 std::string SimulatedCluster::CheckAnswer(const std::string& job, const HttpResponse& response) {
-  return CheckAnswer(job, UserViewOf(job), response);
+  return CheckAnswer(job, CurrentUserView(job), response);
 }
 
 std::string SimulatedCluster::CheckAnswer(const std::string& job, const UserView& known,
@@ -41,11 +41,11 @@
   const std::string state = protocol::Json::parse(response.body).at("mood").get<std::string>();
   if (known.cancelled && state != "withdrawn") violations.insert("went_back");
   if (known.done && state != "done") violations.insert("went_back");
-  const UserView before = UserViewOf(job);
+  const UserView before = CurrentUserView(job);
   if (state == "withdrawn") {
     if (!requested_cancellations.contains(job)) violations.insert("went_back");
-    if (acknowledged_cancellations.try_emplace(job, now).second && draw)
-      ScheduleAfter(cancel_deadline + Seconds{0.01}, [this] { changed_ = true; });
+    if (acknowledged_cancellations.try_emplace(job, now).second && random)
+      ScheduleAfter(cancel_deadline + Seconds{0.01}, [this] { invariants_stale_ = true; });
   }
   if (state == "done") {
     const auto tasks = jobs.contains(job) ? jobs[job] : submitted[job];
@@ -53,9 +53,9 @@
       if (!completed.contains({{job}, i})) violations.insert("not_done");
     reported_done.insert(job);
   }
-  const bool news =
-      UserViewOf(job).cancelled != before.cancelled || UserViewOf(job).done != before.done;
-  if (news && on_news) on_news(job);
+  const bool state_changed =
+      CurrentUserView(job).cancelled != before.cancelled || CurrentUserView(job).done != before.done;
+  if (state_changed && on_job_state_changed) on_job_state_changed(job);
   return state;
 }
 
@@ -74,52 +74,52 @@
   return CheckAnswer(job, response);
 }
 
-void SimulatedCluster::Request(const std::string& via,
-                               const std::function<HttpResponse(JobApi&)>& ask,
-                               const std::function<void(const HttpResponse&)>& take) {
-  Spawn([this, via, ask, take] {
+void SimulatedCluster::SendUserRequest(const std::string& via,
+                               const std::function<HttpResponse(JobApi&)>& send,
+                               const std::function<void(const HttpResponse&)>& on_response) {
+  Spawn([this, via, send, on_response] {
     // One request at a time reads the jobs, as far as a fiber can tell.
-    if (!IsUp(via) || controllers.at(via)->reads_jobs()) return;
+    if (!IsUp(via) || controllers.at(via)->is_reading_jobs()) return;
     SimulatedController& run = *controllers.at(via);
-    run.serving = true;
+    run.serving_request = true;
     try {
-      const HttpResponse response = ask(run.api);
-      run.serving = false;
+      const HttpResponse response = send(run.api);
+      run.serving_request = false;
       Record(DecisionKind::kUserAnswer, via, kUser, [&] { return BodyOf(response); });
-      take(response);
-    } catch (const SimulatedController::Ended&) {
+      on_response(response);
+    } catch (const SimulatedController::ProcessEnded&) {
     }
   });
 }
 
 void SimulatedCluster::PollConcurrently(const std::string& job, const std::string& via) {
-  Request(
+  SendUserRequest(
       via, [job](JobApi& api) { return api.Query(job); },
-      [this, job, known = UserViewOf(job)](const HttpResponse& r) { CheckAnswer(job, known, r); });
+      [this, job, known = CurrentUserView(job)](const HttpResponse& r) { CheckAnswer(job, known, r); });
 }
 
 void SimulatedCluster::CancelConcurrently(const std::string& job, const std::string& via) {
   requested_cancellations.insert(job);
-  Request(
+  SendUserRequest(
       via, [job](JobApi& api) { return api.Cancel(job); },
-      [this, job, known = UserViewOf(job)](const HttpResponse& r) { CheckAnswer(job, known, r); });
+      [this, job, known = CurrentUserView(job)](const HttpResponse& r) { CheckAnswer(job, known, r); });
 }
 
 void SimulatedCluster::SubmitConcurrently(const std::string& job, std::uint32_t tasks,
                                           const std::string& via) {
   submitted.emplace(job, tasks);
-  Request(
+  SendUserRequest(
       via,
       [body = protocol::JobToRecord(Spec(job, tasks)).dump()](JobApi& api) {
         return api.Submit(body);
       },
-      [this, job, tasks, known = UserViewOf(job)](const HttpResponse& r) {
+      [this, job, tasks, known = CurrentUserView(job)](const HttpResponse& r) {
         if (known.accepted && (r.status == 201 || r.status == 400 || r.status == 422))
           violations.insert(r.status == 201 ? "went_back" : "forgotten");
         if (r.status != 200 && r.status != 201) return;
-        const bool news = jobs.emplace(job, tasks).second;
+        const bool state_changed = jobs.emplace(job, tasks).second;
         if (r.status == 200) CheckAnswer(job, known, r);
-        if (news && on_news) on_news(job);
+        if (state_changed && on_job_state_changed) on_job_state_changed(job);
       });
 }
 
@@ -132,7 +132,7 @@
   protocol::Json body = protocol::JobToRecord(spec);
   if (kind == 4) body.erase("pecks");
   const std::string text = body.dump();
-  Request(
+  SendUserRequest(
       via, [=](JobApi& api) { return kind == 0 ? api.Query(job) : api.Submit(text); },
       [this](const HttpResponse& r) {
         if (r.status == 200 || r.status == 201) violations.insert("invented");
@@ -140,8 +140,8 @@
 }
 
 const JobSpec& SimulatedCluster::SubmittedSpec(const std::string& job) {
-  const auto [it, fresh] = submitted_specs_.try_emplace(job);
-  if (fresh) it->second = Spec(job, jobs.contains(job) ? jobs[job] : submitted[job]);
+  const auto [it, inserted] = submitted_specs_.try_emplace(job);
+  if (inserted) it->second = Spec(job, jobs.contains(job) ? jobs[job] : submitted[job]);
   return it->second;
 }
 
--- a/tests/simulated_cluster_workers.cc
+++ b/tests/simulated_cluster_workers.cc
@@ -21,8 +21,8 @@
 }
 
 void SimulatedCluster::OnWorkerChanged(Machine& machine) {
-  changed_ = true;
-  if (draw) machine.next_heartbeat = std::min(machine.next_heartbeat, now + draw->Time(0.1, 0.6));
+  invariants_stale_ = true;
+  if (random) machine.next_heartbeat = std::min(machine.next_heartbeat, now + random->Duration(0.1, 0.6));
 }
 
 std::size_t SimulatedCluster::MachineCount() const {
@@ -37,8 +37,8 @@
     return;
   if (!machine->CanReceive()) {
     // It is delivered once the machine is back, and waits no longer than some minutes.
-    if (draw)
-      ScheduleAfter(draw->Time(0.1, 1), [this, direct_command] { DeliverCommand(direct_command); });
+    if (random)
+      ScheduleAfter(random->Duration(0.1, 1), [this, direct_command] { DeliverCommand(direct_command); });
     return;
   }
   if (machine->worker.Take(direct_command)) OnWorkerChanged(*machine);
@@ -67,21 +67,21 @@
 }
 
 void SimulatedCluster::ScheduleWorker(Machine& machine) {
-  ScheduleAfter(draw->Time(0.2, 0.6), [this, &machine] {
+  ScheduleAfter(random->Duration(0.2, 0.6), [this, &machine] {
     if (machine.removed) return;
     if (now >= machine.booted_at) RunWorker(machine);
     ScheduleWorker(machine);
   });
 }
 
-MachineId SimulatedCluster::AddRentedMachine(const std::string& name, const std::string& zone,
+MachineId SimulatedCluster::AddProvisionedMachine(const std::string& name, const std::string& zone,
                                              bool spot) {
   if (Find({name}) != nullptr) violations.insert("rental_name_reused");
   Machine& machine = machines.emplace_back(name, "small", zone, spot);
-  machine.booted_at = now + draw->Time(0.3, 2);
+  machine.booted_at = now + random->Duration(0.3, 2);
   machine.lease_renewed = machine.booted_at;
   machine.next_heartbeat = machine.booted_at;
-  machine.destination = static_cast<std::size_t>(draw->Below(static_cast<int>(labels.size())));
+  machine.destination = static_cast<std::size_t>(random->Below(static_cast<int>(labels.size())));
   ScheduleWorker(machine);
   return machine.worker.id();
 }
@@ -93,21 +93,21 @@
     ++machine.generation;
     machine.lease_renewed = now;
     machine.awaiting_response = false;
-    changed_ = true;
+    invariants_stale_ = true;
   }
   if (machine.awaiting_response || now < machine.next_heartbeat) return;
   machine.next_heartbeat =
-      now + draw->Time(0.75 * kTestHeartbeatInterval.value, 1.25 * kTestHeartbeatInterval.value);
+      now + random->Duration(0.75 * kTestHeartbeatInterval.value, 1.25 * kTestHeartbeatInterval.value);
   const std::string body = protocol::HeartbeatToJson(machine.worker.Snapshot()).dump();
   RememberHeartbeat(machine, body);
   machine.awaiting_response = true;
-  const auto answer_until = now + kHeartbeatTimeout;
+  const auto response_deadline = now + kHeartbeatTimeout;
   const auto generation = ++machine.generation;
-  ScheduleAt(answer_until, [&machine, generation] {
+  ScheduleAt(response_deadline, [&machine, generation] {
     if (machine.generation == generation) machine.awaiting_response = false;
   });
-  const Seconds takes = machine.slow_heartbeats ? draw->Time(0.1, 3) : Seconds{};
-  ScheduleAfter(takes, [this, &machine, generation, sent = now, body] {
+  const Seconds latency = machine.slow_heartbeats ? random->Duration(0.1, 3) : Seconds{};
+  ScheduleAfter(latency, [this, &machine, generation, sent = now, body] {
     DeliverHeartbeat(machine, generation, sent, body);
   });
 }
@@ -119,9 +119,9 @@
       !machine.IsReachableFrom(destination))
     return OnHeartbeatAnswered(machine, generation, sent, std::nullopt);
   const HttpResponse response = Heartbeat(destination, body);
-  const Seconds takes = machine.slow_heartbeats ? draw->Time(0.1, 3) : Seconds{};
-  if (takes.value == 0) return OnHeartbeatAnswered(machine, generation, sent, response);
-  ScheduleAfter(takes,
+  const Seconds latency = machine.slow_heartbeats ? random->Duration(0.1, 3) : Seconds{};
+  if (latency.value == 0) return OnHeartbeatAnswered(machine, generation, sent, response);
+  ScheduleAfter(latency,
                 [=, this, &machine] { OnHeartbeatAnswered(machine, generation, sent, response); });
 }
 
@@ -175,7 +175,7 @@
   if (machine.sent_heartbeats.size() > 12) machine.sent_heartbeats.pop_front();
   if (const auto copy = repeat_heartbeat()) {
     repeated_heartbeats.emplace_back(copy->first, copy->second, body);
-    if (draw)
+    if (random)
       ScheduleAt(copy->first, [this, at = copy->second, body] { RepeatHeartbeat(body, at); });
   }
 }
--- a/tests/simulated_controller.cc
+++ b/tests/simulated_controller.cc
@@ -14,22 +14,22 @@
 }
 
 // The peers that must know of a cancellation before the user is answered.
-std::vector<std::string> PeersToAsk(const SimulatedCluster& cluster, const std::string& label) {
+std::vector<std::string> PeersThatMustAcknowledge(const SimulatedCluster& cluster, const std::string& label) {
   std::vector<std::string> others = PeersOf(cluster, label);
-  if (cluster.broken_broadcast == BrokenBroadcast::kAsksOnePeerOnly) others = {others.back()};
+  if (cluster.broken_broadcast == BrokenBroadcast::kNotifiesOnePeer) others = {others.back()};
   return others;
 }
 
 }  // namespace
 
 Scheduler::Options SimulatedSchedulerOptions() {
-  Scheduler::Options o;
-  o.teams = {{"red", 0, 0, 0, 0}, {"blue", 0, kBlueTeamCpuLimit, 0, 0}};
-  o.headroom = 0;
-  o.heartbeat_interval = kTestHeartbeatInterval;
-  o.lease = kTestLease;
-  o.cancel_deadline = kTestCancelDeadline;
-  return o;
+  Scheduler::Options options;
+  options.teams = {{"red", 0, 0, 0, 0}, {"blue", 0, kBlueTeamCpuLimit, 0, 0}};
+  options.headroom = 0;
+  options.heartbeat_interval = kTestHeartbeatInterval;
+  options.lease = kTestLease;
+  options.cancel_deadline = kTestCancelDeadline;
+  return options;
 }
 
 std::vector<MachineType> SimulatedMachineTypes() {
@@ -44,42 +44,42 @@
       election(store, label, nonce, kTestLeaderLease),
       core(
           [&cluster] {
-            Scheduler::Options o = SimulatedSchedulerOptions();
-            o.max_page_bytes = cluster.page_bytes;
-            o.cancel_deadline = cluster.cancel_deadline;
-            o.writes_per_s = cluster.writes_per_s;
-            return o;
+            Scheduler::Options options = SimulatedSchedulerOptions();
+            options.max_page_bytes = cluster.page_bytes;
+            options.cancel_deadline = cluster.cancel_deadline;
+            options.writes_per_s = cluster.writes_per_s;
+            return options;
           }(),
           {}),
       api(store, SimulatedSchedulerOptions().teams, {"a", "b"}, Seconds{0}, {},
           {[] { return SimulatedMachineTypes(); },
            [this](const JobId& id) { return core.GetJobProgress(id); },
-           [&cluster] { return cluster.wall; }, [this](Seconds) { Pause(); },
+           [&cluster] { return cluster.wall; }, [this](Seconds) { WaitForRetry(); },
            [&cluster] { return cluster.now; },
            [this](const JobId& id, Revision revision) {
              const bool all = broadcaster.Broadcast(id, revision);
-             return all || cluster_.broken_broadcast == BrokenBroadcast::kAsksNoPeer;
+             return all || cluster_.broken_broadcast == BrokenBroadcast::kNotifiesNoPeer;
            }}),
       cancellations(api.cache(),
                     [this](const JobCache::Cancellation& c) {
                       std::lock_guard lock(mutex);
                       if (core.leading()) core.OnCancelled(c.job, c.revision);
                     }),
-      broadcaster({PeersToAsk(cluster, label), !CancellationBroadcaster::AllowsEarlyAcknowledgement(
+      broadcaster({PeersThatMustAcknowledge(cluster, label), !CancellationBroadcaster::AllowsEarlyAcknowledgement(
                                                    kTestLease, cluster.cancel_deadline)},
                   {[&cluster] { return cluster.now; },
                    [this](const std::string& to, const JobId& job, Revision revision) {
-                     if (cluster_.broken_broadcast == BrokenBroadcast::kAsksNoPeer) return false;
+                     if (cluster_.broken_broadcast == BrokenBroadcast::kNotifiesNoPeer) return false;
                      // Others act between two requests.
-                     if (cluster_.draw && cluster_.draw->Chance(0.2))
-                       Wait(cluster_.draw->Time(0, 0.4));
-                     if (!cluster_.Reaches(label, to) || !cluster_.IsUp(to)) return false;
+                     if (cluster_.random && cluster_.random->Chance(0.2))
+                       Wait(cluster_.random->Duration(0, 0.4));
+                     if (!cluster_.CanReach(label, to) || !cluster_.IsUp(to)) return false;
                      const std::string text = CancellationRegistry::Announcement({job, revision});
                      cluster_.Record(DecisionKind::kPeerMessage, label, to, [&] { return text; });
-                     if (cluster_.broken_broadcast != BrokenBroadcast::kForgetsAcknowledgement &&
+                     if (cluster_.broken_broadcast != BrokenBroadcast::kAcknowledgesWithoutRecording &&
                          !cluster_.controllers.at(to)->cancellations.RecordAnnouncement(text))
                        return false;
-                     return cluster_.Reaches(to, label);
+                     return cluster_.CanReach(to, label);
                    },
                    [this](const JobId& job, Revision revision) {
                      return cancellations.Record(JobCache::Cancellation{job, revision});
@@ -97,38 +97,38 @@
            [this](const std::string& to, const std::string& body) -> HttpAnswer {
              cluster_.Record(DecisionKind::kPeerMessage, label, to, [&] { return body; });
              if (!cluster_.IsUp(to)) return {false, false, 0, {}, cluster_.IsPaused(to)};
-             if (!cluster_.Reaches(label, to)) return {false, false, 0, {}, true};
+             if (!cluster_.CanReach(label, to)) return {false, false, 0, {}, true};
              const HttpResponse r = cluster_.controllers.at(to)->heartbeat_handler.Handle(
                  body, HeartbeatRoute::kRelayed);
-             if (!cluster_.Reaches(to, label)) return {true, false, 0, {}, true};
+             if (!cluster_.CanReach(to, label)) return {true, false, 0, {}, true};
              return {true, true, r.status, r.body};
            }}),
       cluster_(cluster),
       writer_(store, {[this] {
                         // In the fixed order a write can't wait; in drawn time it does, as long as
                         // we lead.
-                        return (cluster_.draw || store.open()) && leadership_ == writing_for_;
+                        return (cluster_.random || store.open()) && leadership_ == write_leadership_;
                       },
-                      [this](Seconds) { Pause(); }}) {
+                      [this](Seconds) { WaitForRetry(); }}) {
   core.SetTypes(SimulatedMachineTypes());
   store.next_fault = [this](bool write) {
     return cluster_.inject_fault ? cluster_.inject_fault(label, write) : InjectedFault{};
   };
   store.on_commit = [this](const Transaction& txn) {
-    cluster_.Record(DecisionKind::kTransaction, label, SimulatedCluster::kStateService,
+    cluster_.Record(DecisionKind::kTransaction, label, SimulatedCluster::kKeyValueStore,
                     [&] { return BodyOf(txn); });
   };
 }
 
 // The delay between two attempts, drawn by the cluster: that of the sources is random.
-void SimulatedController::Pause() {
-  if (cluster_.draw) Wait(cluster_.draw->Time(0.1, 1));
+void SimulatedController::WaitForRetry() {
+  if (cluster_.random) Wait(cluster_.random->Duration(0.1, 1));
 }
 
 void SimulatedController::Wait(Seconds length) {
   Fiber* fiber = Fiber::Current();
   if (fiber == nullptr) return;
-  const auto here = waiting_.insert(waiting_.end(), fiber);
+  const auto position = waiting_fibers_.insert(waiting_fibers_.end(), fiber);
   // A run that ended is resumed at once, and its fiber may have other work by then.
   const auto token = std::make_shared<bool>(true);
   const std::function<void()> resume = [this, fiber, weak = std::weak_ptr<bool>(token)] {
@@ -142,28 +142,28 @@
   };
   cluster_.ScheduleAfter(length, resume);
   fiber->Wait();
-  waiting_.erase(here);
-  if (ended_) throw Ended{};
+  waiting_fibers_.erase(position);
+  if (ended_) throw ProcessEnded{};
 }
 
 void SimulatedController::End() {
   ended_ = true;
-  while (!waiting_.empty()) waiting_.front()->Resume();
+  while (!waiting_fibers_.empty()) waiting_fibers_.front()->Resume();
 }
 
 void SimulatedController::Loop(void (SimulatedController::*body)(), double min_gap,
                                double max_gap) {
   cluster_.ScheduleAfter(
-      cluster_.draw->Time(min_gap, max_gap), [=, this, weak = std::weak_ptr<bool>(alive_)] {
+      cluster_.random->Duration(min_gap, max_gap), [=, this, weak = std::weak_ptr<bool>(lifetime_)] {
         if (weak.expired()) return;
-        const bool idle = body != &SimulatedController::OnLeadershipChanged &&
+        const bool idle = body != &SimulatedController::StepElection &&
                           body != &SimulatedController::LoadCancellations && !leadership_;
         if (idle || cluster_.IsPaused(label)) return Loop(body, min_gap, max_gap);
         if (body == &SimulatedController::LoadCancellations && cancellations.Loaded()) return;
         cluster_.Spawn([=, this] {
           try {
             (this->*body)();
-          } catch (const Ended&) {
+          } catch (const ProcessEnded&) {
             return;
           }
           Loop(body, min_gap, max_gap);
@@ -172,7 +172,7 @@
 }
 
 void SimulatedController::StartLoops() {
-  Loop(&SimulatedController::OnLeadershipChanged, 0.3, 1);
+  Loop(&SimulatedController::StepElection, 0.3, 1);
   Loop(&SimulatedController::LoadCancellations, 0.1, 0.6);
   Loop(&SimulatedController::RunScheduler, 0.2, 0.9);
   Loop(&SimulatedController::WriteBatches, 0.05, 0.4);
@@ -183,7 +183,7 @@
 }
 
 void SimulatedController::LoadCancellations() {
-  if (serving) return;
+  if (serving_request) return;
   loading_cancellations_ = true;
   cancellations.LoadIfNeeded();
   loading_cancellations_ = false;
@@ -196,7 +196,7 @@
   if (core.loaded()) core.Tick(cluster_.now, cluster_.wall);
 }
 
-void SimulatedController::OnLeadershipChanged() {
+void SimulatedController::StepElection() {
   const LeaderElection::View& view = election.Step();
   store_unreachable_ = !view.store_reachable;
   if (!view.store_reachable) return;
@@ -204,8 +204,8 @@
   if (leader_ != view.leader) heartbeat_handler.OnLeaderChanged();
   leader_ = view.leader;
   epoch_ = view.epoch;
-  if (view.leadership && view.leadership == relinquished_) {
-    if (cluster_.draw) election.Resign();  // as ElectionLoop
+  if (view.leadership && view.leadership == relinquished_leadership_) {
+    if (cluster_.random) election.Resign();  // as ElectionLoop
     return;
   }
   if (view.leadership == leadership_) return;
@@ -216,9 +216,9 @@
 
 // As TakeoverLoop::Run: a read that failed is repeated from the start.
 bool SimulatedController::LoadRecords() {
-  const auto ours = leadership_;
-  if (ReadRecords(*ours)) return true;
-  if (leadership_ == ours) StartCore();
+  const auto expected = leadership_;
+  if (ReadRecords(*expected)) return true;
+  if (leadership_ == expected) StartCore();
   return false;
 }
 
@@ -227,12 +227,12 @@
              cluster_.now);
 }
 
-bool SimulatedController::ReadRecords(const records::Leadership& ours) {
+bool SimulatedController::ReadRecords(const records::Leadership& expected) {
   watched_revision_ = {};
   if (cluster_.on_leader_loading) cluster_.on_leader_loading();
   for (const char* prefix : {records::kJobPrefix, records::kBlockPrefix, records::kPagePrefix}) {
     const RangeResult range = store.Range(prefix, "", 100000);
-    if (range.status != StoreStatus::kOk || leadership_ != ours) return false;
+    if (range.status != StoreStatus::kOk || leadership_ != expected) return false;
     if (watched_revision_.value == 0) watched_revision_ = range.revision;
     for (const StoreEntry& e : range.entries) {
       if (prefix == records::kJobPrefix) {
@@ -244,17 +244,17 @@
       }
     }
   }
-  const Transaction still_leading{records::ConditionsOf(ours), {}};
-  if (store.Commit(still_leading).status != StoreStatus::kOk || leadership_ != ours) return false;
+  const Transaction still_leading{records::ConditionsOf(expected), {}};
+  if (store.Commit(still_leading).status != StoreStatus::kOk || leadership_ != expected) return false;
   core.FinishLoad(cluster_.now);
   if (cluster_.on_leader_loading) cluster_.on_leader_loading();
   return true;
 }
 
 void SimulatedController::WatchJobs() {
-  const auto ours = leadership_;
+  const auto expected = leadership_;
   const WatchResult watch = store.Watch(records::kJobPrefix, watched_revision_, {});
-  if (watch.status != StoreStatus::kOk || leadership_ != ours) return;
+  if (watch.status != StoreStatus::kOk || leadership_ != expected) return;
   watched_revision_ = watch.revision;
   for (const WatchEvent& e : watch.events) {
     if (!e.value) {
@@ -270,15 +270,15 @@
   for (int i = 0; i < 4 && leadership_ && store.open(); ++i) {
     const WriteBatch plan = core.NextWriteBatch(cluster_.now);
     if (plan.empty()) return;
-    const records::Leadership ours = *leadership_;
-    writing_for_ = ours;
-    const WriteOutcome outcome = writer_.Write(plan, ours);
+    const records::Leadership expected = *leadership_;
+    write_leadership_ = expected;
+    const WriteOutcome outcome = writer_.Write(plan, expected);
     if (outcome.stale) ++cluster_.stale_batches;
-    if (leadership_ != ours) return;
+    if (leadership_ != expected) return;
     if (outcome.deposed || outcome.stale) {  // as LeaderState::Relinquish
       core.Stop();
-      relinquished_ = std::exchange(leadership_, std::nullopt);
-      if (outcome.stale && !cluster_.draw) election.Resign();
+      relinquished_leadership_ = std::exchange(leadership_, std::nullopt);
+      if (outcome.stale && !cluster_.random) election.Resign();
       return;
     }
     if (outcome.status == WriteOutcome::Status::kWritten) {
@@ -294,22 +294,22 @@
 void SimulatedController::Send(magpie::DirectCommand direct_command) {
   cluster_.Record(DecisionKind::kCommand, label, direct_command.machine.value,
                   [&] { return BodyOf(direct_command); });
-  if (cluster_.draw) Wait(cluster_.command_latency());
+  if (cluster_.random) Wait(cluster_.command_latency());
   if (const auto until = cluster_.delay_command()) {
-    if (cluster_.draw)
+    if (cluster_.random)
       cluster_.ScheduleAt(*until, [&cluster = cluster_, direct_command] {
         cluster.DeliverCommand(direct_command);
       });
     else
       cluster_.delayed_commands.emplace_back(*until, direct_command);
-    if (cluster_.draw) Wait(cluster_.draw->Time(0.2, 2));
+    if (cluster_.random) Wait(cluster_.random->Duration(0.2, 2));
     return core.OnDirectCommandResult(direct_command, DeliveryStatus::kUnknown, std::nullopt,
                                       cluster_.now);
   }
   SimulatedCluster::Machine* machine = cluster_.Find(direct_command.machine);
   if (machine == nullptr || !machine->CanReceive() || machine->booted_at > cluster_.now ||
       !machine->IsReachableFrom(label)) {
-    if (cluster_.draw) Wait(cluster_.draw->Time(0.2, 2));
+    if (cluster_.random) Wait(cluster_.random->Duration(0.2, 2));
     return core.OnDirectCommandResult(direct_command, DeliveryStatus::kUnknown, std::nullopt,
                                       cluster_.now);
   }
@@ -317,7 +317,7 @@
     cluster_.OnWorkerChanged(*machine);
   cluster_.CheckInvariants();
   const Heartbeat answer = machine->worker.Snapshot();
-  if (cluster_.draw) Wait(cluster_.command_latency());
+  if (cluster_.random) Wait(cluster_.command_latency());
   core.OnDirectCommandResult(direct_command, DeliveryStatus::kAnswered, answer, cluster_.now);
 }
 
@@ -371,13 +371,13 @@
           machine->died.reset();
         }
       core.OnReleased(*call, cluster_.now);
-    } else if (cluster_.grants_rentals && cluster_.MachineCount() < kMaxTestMachines) {
-      std::vector<MachineId> rented;
+    } else if (cluster_.grants_provisioning && cluster_.MachineCount() < kMaxTestMachines) {
+      std::vector<MachineId> provisioned;
       for (std::uint32_t k = 0; k < call->scale_out.count; ++k)
-        rented.push_back(cluster_.AddRentedMachine(call->scale_out.name + "-" + std::to_string(k),
+        provisioned.push_back(cluster_.AddProvisionedMachine(call->scale_out.name + "-" + std::to_string(k),
                                                    call->scale_out.kind.zone,
                                                    call->scale_out.kind.spot));
-      core.OnProvisioned(*call, rented, cluster_.now);
+      core.OnProvisioned(*call, provisioned, cluster_.now);
     } else {
       core.OnProvisioningRefused(*call, cluster_.now);
     }
@@ -385,7 +385,7 @@
 }
 
 void SimulatedController::Step() {
-  OnLeadershipChanged();
+  StepElection();
   cancellations.LoadIfNeeded();
   if (!leadership_) return;
   if (!core.loaded() && !LoadRecords()) return;
--- a/tests/simulated_controller.h
+++ b/tests/simulated_controller.h
@@ -36,7 +36,7 @@
   SimulatedController(SimulatedCluster& cluster, std::string label, const std::string& nonce);
 
   // Thrown out of a call that was in progress as the process ended.
-  struct Ended {};
+  struct ProcessEnded {};
 
   // All loops once, in a fixed order.
   void Step();
@@ -47,7 +47,7 @@
   // Ends all its calls that wait.
   void End();
   // Whether a request or a loop is reading the jobs.
-  bool reads_jobs() const { return serving || loading_cancellations_; }
+  bool is_reading_jobs() const { return serving_request || loading_cancellations_; }
 
   std::string label;
   const std::string run_id;  // of this run of the process: differs from that of every other
@@ -60,16 +60,16 @@
   CancellationRegistry cancellations;
   CancellationBroadcaster broadcaster;
   HeartbeatHandler heartbeat_handler;
-  bool serving = false;  // a user's request: one at a time reads the jobs
+  bool serving_request = false;  // a user's request: one at a time reads the jobs
 
  private:
   void Loop(void (SimulatedController::*body)(), double min_gap, double max_gap);
-  void Pause();
-  void OnLeadershipChanged();
+  void WaitForRetry();
+  void StepElection();
   void LoadCancellations();
   void RunScheduler();
   bool LoadRecords();
-  bool ReadRecords(const records::Leadership& ours);
+  bool ReadRecords(const records::Leadership& expected);
   void StartCore();
   void WatchJobs();
   void WriteBatches();
@@ -79,14 +79,14 @@
   void CallCloud();
 
   SimulatedCluster& cluster_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
-  std::list<Fiber*> waiting_;
+  std::shared_ptr<bool> lifetime_ = std::make_shared<bool>(true);
+  std::list<Fiber*> waiting_fibers_;
   bool ended_ = false;
   bool loading_cancellations_ = false;
   WriteBatchCommitter writer_;
   std::optional<records::Leadership> leadership_;
-  std::optional<records::Leadership> relinquished_;  // the latest that was given up
-  std::optional<records::Leadership> writing_for_;
+  std::optional<records::Leadership> relinquished_leadership_;  // the latest that was given up
+  std::optional<records::Leadership> write_leadership_;
   std::string leader_;
   Revision epoch_;
   Revision watched_revision_;
--- a/tests/stepped_fault_sweep.cc
+++ b/tests/stepped_fault_sweep.cc
@@ -8,51 +8,51 @@
 namespace {
 
 constexpr int kFaultSeconds = 95;
-constexpr int kQuietSeconds = 50;
+constexpr int kRecoverySeconds = 50;
 constexpr std::size_t kSmallPageBytes = 900;
-constexpr std::size_t kUsualPageBytes = 15UL * 1024;
+constexpr std::size_t kDefaultPageBytes = 15UL * 1024;
 
 // Draws with the distributions of the standard library.
-class StandardDraw {
+class StandardRandom {
  public:
-  explicit StandardDraw(std::uint64_t seed) : random_(seed) {}
-  int Below(int n) { return std::uniform_int_distribution<int>(0, n - 1)(random_); }
+  explicit StandardRandom(std::uint64_t seed) : engine_(seed) {}
+  int Below(int n) { return std::uniform_int_distribution<int>(0, n - 1)(engine_); }
   int Between(int a, int b) { return a + Below(b - a + 1); }
   // Whole seconds, 0.8 to 2 times as long.
-  int About(Seconds lease) {
+  int RandomSecondsNear(Seconds lease) {
     const std::vector<double> times{0.8, 1, 1.1, 1.2, 2};
     return static_cast<int>(times[static_cast<std::size_t>(Below(5))] * lease.value);
   }
-  bool Chance(double p) { return std::bernoulli_distribution(p)(random_); }
-  const std::string& Of(const std::vector<std::string>& all) {
+  bool Chance(double p) { return std::bernoulli_distribution(p)(engine_); }
+  const std::string& Pick(const std::vector<std::string>& all) {
     return all[static_cast<std::size_t>(Below(static_cast<int>(all.size())))];
   }
 
  private:
-  std::mt19937_64 random_;
+  std::mt19937_64 engine_;
 };
 
 // One seed's run: first all faults are drawn and planned by second, then the seconds pass.
 class SteppedSeedRun {
  public:
   SteppedSeedRun(std::uint64_t seed, BrokenBroadcast broken_broadcast, DecisionDigest* decisions)
-      : draw_(seed),
+      : random_(seed),
         // Small pages are seldom written for others, so records of unbound tasks stay longer.
-        cluster_(broken_broadcast, 3, 5, draw_.Chance(0.5) ? kSmallPageBytes : kUsualPageBytes),
+        cluster_(broken_broadcast, 3, 5, random_.Chance(0.5) ? kSmallPageBytes : kDefaultPageBytes),
         labels_(cluster_.labels) {
     cluster_.decisions = decisions;
-    DescribeJobs();
+    ConfigureJobs();
   }
 
   SeedResult Run() {
     SubmitJobs();
-    if (draw_.Chance(0.5)) PlanRefusalThenOutage(cluster_.Leader());
-    for (int i = draw_.Between(1, 5); i > 0; --i) PlanFault();
-    for (const char* job : {"j-1", "j-2"}) cancel_at_[job] = draw_.Between(2, 40);
+    if (random_.Chance(0.5)) ScheduleRefusalThenOutage(cluster_.Leader());
+    for (int i = random_.Between(1, 5); i > 0; --i) ScheduleRandomFault();
+    for (const char* job : {"j-1", "j-2"}) cancel_at_[job] = random_.Between(2, 40);
     for (int second = 0; second < kFaultSeconds; ++second) RunSecond(second);
     ClearFaults();
-    cluster_.AdvanceSeconds(kQuietSeconds);
-    PollEveryJobEverywhere();
+    cluster_.AdvanceSeconds(kRecoverySeconds);
+    PollAllJobsAtAllControllers();
     cluster_.AdvanceSeconds(1);
     result_.violations.insert(cluster_.violations.begin(), cluster_.violations.end());
     return std::move(result_);
@@ -61,7 +61,7 @@
  private:
   using Machine = SimulatedCluster::Machine;
 
-  void DescribeJobs() {
+  void ConfigureJobs() {
     cluster_.job_overrides["j-5"] = [](JobSpec& spec) {
       spec.team = "blue";
       spec.single_zone = true;
@@ -79,55 +79,55 @@
   void SubmitJobs() {
     cluster_.AdvanceSeconds(3);
     for (const char* job : {"j-1", "j-2", "j-3", "j-4"})
-      cluster_.Submit(job, static_cast<std::uint32_t>(draw_.Between(2, 3)), "n1");
+      cluster_.Submit(job, static_cast<std::uint32_t>(random_.Between(2, 3)), "n1");
     for (const char* job : {"j-5", "j-6"}) cluster_.Submit(job, 3, "n1");
     cluster_.AdvanceSeconds(8);
   }
 
   // ---- Faults, each planned for a second
-  void PlanAt(int second, std::string what, std::function<void()> act) {
-    plan_.emplace(second, [this, what = std::move(what), act = std::move(act)] {
+  void ScheduleAt(int second, std::string description, std::function<void()> action) {
+    schedule_.emplace(second, [this, description = std::move(description), action = std::move(action)] {
       result_.fault_log +=
-          std::to_string(static_cast<int>(cluster_.now.value) - 100) + " s: " + what + "\n";
-      act();
+          std::to_string(static_cast<int>(cluster_.now.value) - 100) + " s: " + description + "\n";
+      action();
     });
   }
-  void NoteFault(const char* kind) { result_.faults.insert(kind); }
+  void RecordFault(const char* kind) { result_.faults.insert(kind); }
 
-  void Refuse(int from, int length, const std::string& label) {
-    NoteFault("refused");
-    PlanAt(from, "the state service refuses " + label, [this, label] {
+  void RefuseStoreCalls(int from, int length, const std::string& label) {
+    RecordFault("refused");
+    ScheduleAt(from, "the state service refuses " + label, [this, label] {
       if (cluster_.controllers.contains(label))
         cluster_.controllers.at(label)->store.refused = true;
     });
-    PlanAt(from + length, "and serves " + label, [this, label] {
+    ScheduleAt(from + length, "and serves " + label, [this, label] {
       if (cluster_.controllers.contains(label))
         cluster_.controllers.at(label)->store.refused = false;
     });
   }
 
-  void StartOutage(int from, int length) {
-    NoteFault("outage");
-    PlanAt(from, "outage", [this] { cluster_.store.outage = true; });
-    PlanAt(from + length, "its end", [this] { cluster_.store.outage = false; });
+  void ScheduleOutage(int from, int length) {
+    RecordFault("outage");
+    ScheduleAt(from, "outage", [this] { cluster_.store.outage = true; });
+    ScheduleAt(from + length, "its end", [this] { cluster_.store.outage = false; });
   }
 
-  void Partition(int from, int length, const std::string& a, const std::string& b) {
-    NoteFault("partition");
-    PlanAt(from, a + " can't reach " + b, [this, a, b] { cluster_.partitions.insert({a, b}); });
-    PlanAt(from + length, a + " reaches " + b, [this, a, b] { cluster_.partitions.erase({a, b}); });
+  void PartitionControllers(int from, int length, const std::string& a, const std::string& b) {
+    RecordFault("partition");
+    ScheduleAt(from, a + " can't reach " + b, [this, a, b] { cluster_.partitions.insert({a, b}); });
+    ScheduleAt(from + length, a + " reaches " + b, [this, a, b] { cluster_.partitions.erase({a, b}); });
   }
 
-  void RestartController(int from, int away, const std::string& label) {
-    NoteFault("crash");
-    PlanAt(from, label + " ends", [this, label] { cluster_.StopController(label); });
-    PlanAt(from + away, label + " is back", [this, label] {
+  void RestartController(int from, int downtime, const std::string& label) {
+    RecordFault("crash");
+    ScheduleAt(from, label + " ends", [this, label] { cluster_.StopController(label); });
+    ScheduleAt(from + downtime, label + " is back", [this, label] {
       if (!cluster_.controllers.contains(label)) cluster_.StartController(label);
     });
   }
 
   void RestartLeader(int from) {
-    PlanAt(from, "the leader ends and is back", [this] {
+    ScheduleAt(from, "the leader ends and is back", [this] {
       const std::string leader = cluster_.Leader();
       if (leader.empty()) return;
       cluster_.StopController(leader);
@@ -136,16 +136,16 @@
   }
 
   void PauseController(int from, int length, const std::string& label) {
-    NoteFault("paused");
-    PlanAt(from, label + " is paused", [this, label, length] {
+    RecordFault("paused");
+    ScheduleAt(from, label + " is paused", [this, label, length] {
       cluster_.paused_until[label] = cluster_.now + Seconds{1.0 * length};
     });
   }
 
   void KillMachine(int from, Machine& machine) {
-    NoteFault("dead");
+    RecordFault("dead");
     if (&machine == &cluster_.machines.front()) return;  // one stays
-    PlanAt(from, "a machine dies", [this, &machine] {
+    ScheduleAt(from, "a machine dies", [this, &machine] {
       if (machine.removed) return;
       machine.removed = true;
       machine.died = cluster_.now;
@@ -153,152 +153,152 @@
   }
 
   void PartitionMachinesOfAZone(int from) {
-    NoteFault("zone partition");
-    const std::string zone = draw_.Chance(0.5) ? "a" : "b";
-    const int length = draw_.About(kTestLease);
-    PlanAt(from, "the machines of zone " + zone + " are partitioned", [this, zone] {
+    RecordFault("zone partition");
+    const std::string zone = random_.Chance(0.5) ? "a" : "b";
+    const int length = random_.RandomSecondsNear(kTestLease);
+    ScheduleAt(from, "the machines of zone " + zone + " are partitioned", [this, zone] {
       for (Machine& machine : cluster_.machines)
         machine.partitioned |= machine.worker.zone() == zone;
     });
-    PlanAt(from + length, "and are not", [this, zone] {
+    ScheduleAt(from + length, "and are not", [this, zone] {
       for (Machine& machine : cluster_.machines)
         if (machine.worker.zone() == zone) machine.partitioned = false;
     });
   }
 
-  void SendNothing(int from, Machine& machine) {
-    NoteFault("sends nothing");
-    const int length = draw_.About(kTestLease);
-    PlanAt(from, "a machine sends nothing", [&machine] { machine.sends_nothing = true; });
-    PlanAt(from + length, "and sends again", [&machine] { machine.sends_nothing = false; });
+  void StopHeartbeats(int from, Machine& machine) {
+    RecordFault("sends nothing");
+    const int length = random_.RandomSecondsNear(kTestLease);
+    ScheduleAt(from, "a machine sends nothing", [&machine] { machine.sends_nothing = true; });
+    ScheduleAt(from + length, "and sends again", [&machine] { machine.sends_nothing = false; });
   }
 
-  void LimitRate(int from, int length) {
-    NoteFault("429s");
-    PlanAt(from, "a third of the calls are too many", [this] {
+  void RateLimitStoreCalls(int from, int length) {
+    RecordFault("429s");
+    ScheduleAt(from, "a third of the calls are too many", [this] {
       for (auto& [label, controller] : cluster_.controllers)
-        controller->store.rate_limited = [this] { return draw_.Chance(0.3); };
+        controller->store.rate_limited = [this] { return random_.Chance(0.3); };
     });
-    PlanAt(from + length, "and none are", [this] {
+    ScheduleAt(from + length, "and none are", [this] {
       for (auto& [label, controller] : cluster_.controllers)
         controller->store.rate_limited = [] { return false; };
     });
   }
 
   // Machines are disconnected for about a lease, and the leader changes as they are back.
-  void DisconnectMachinesForAboutALease(int from) {
-    NoteFault("about a lease");
-    const int length = draw_.About(kTestLease);
-    const int kind = draw_.Below(3);
+  void DisconnectMachinesNearLeaseDuration(int from) {
+    RecordFault("about a lease");
+    const int length = random_.RandomSecondsNear(kTestLease);
+    const int kind = random_.Below(3);
     for (Machine& machine : cluster_.machines)
-      if (draw_.Chance(0.6)) {
-        PlanAt(from, machine.worker.id().value + " is out of reach", [&machine, kind] {
+      if (random_.Chance(0.6)) {
+        ScheduleAt(from, machine.worker.id().value + " is out of reach", [&machine, kind] {
           (kind == 0   ? machine.receives_nothing
            : kind == 1 ? machine.sends_nothing
                        : machine.partitioned) = true;
         });
-        PlanAt(from + length, "and back", [&machine] {
+        ScheduleAt(from + length, "and back", [&machine] {
           machine.receives_nothing = machine.sends_nothing = machine.partitioned = false;
         });
       }
-    for (int k = 0; k < 3; ++k) RestartLeader(from + length + draw_.Between(-2, 9));
+    for (int k = 0; k < 3; ++k) RestartLeader(from + length + random_.Between(-2, 9));
   }
 
   void RepeatHeartbeats(int from, int length) {
-    NoteFault("late heartbeats");
+    RecordFault("late heartbeats");
     cluster_.stale_first_heartbeat = [this](std::size_t sent) -> std::optional<std::size_t> {
-      if (sent == 0 || !draw_.Chance(0.5)) return std::nullopt;
-      return static_cast<std::size_t>(draw_.Below(static_cast<int>(sent)));
+      if (sent == 0 || !random_.Chance(0.5)) return std::nullopt;
+      return static_cast<std::size_t>(random_.Below(static_cast<int>(sent)));
     };
-    PlanAt(from, "heartbeats come again", [this] {
+    ScheduleAt(from, "heartbeats come again", [this] {
       cluster_.repeat_heartbeat = [this]() -> std::optional<std::pair<Instant, std::string>> {
-        if (!draw_.Chance(0.3)) return std::nullopt;
-        return std::pair(cluster_.now + Seconds{1.0 * draw_.Between(2, 60)}, draw_.Of(labels_));
+        if (!random_.Chance(0.3)) return std::nullopt;
+        return std::pair(cluster_.now + Seconds{1.0 * random_.Between(2, 60)}, random_.Pick(labels_));
       };
     });
-    PlanAt(from + length, "and do not",
+    ScheduleAt(from + length, "and do not",
            [this] { cluster_.repeat_heartbeat = [] { return std::nullopt; }; });
   }
 
   void DelayCommands(int from, int length) {
-    NoteFault("delayed commands");
-    const int delay = draw_.Between(2, 60);
-    PlanAt(from, "commands are delayed by " + std::to_string(delay) + " s", [this, delay] {
+    RecordFault("delayed commands");
+    const int delay = random_.Between(2, 60);
+    ScheduleAt(from, "commands are delayed by " + std::to_string(delay) + " s", [this, delay] {
       cluster_.delay_command = [this, delay] {
         return std::optional(cluster_.now + Seconds{1.0 * delay});
       };
     });
-    PlanAt(from + length, "and are not",
+    ScheduleAt(from + length, "and are not",
            [this] { cluster_.delay_command = [] { return std::nullopt; }; });
   }
 
   // The leader alone is refused, then there is an outage, while users cancel.
-  void PlanRefusalThenOutage(const std::string& leader) {
-    const int from = draw_.Between(2, 10);
-    Refuse(from, draw_.Between(20, 80), leader);
-    StartOutage(from + draw_.Between(1, 6), draw_.Between(46, 75));
-    if (draw_.Chance(0.4))
+  void ScheduleRefusalThenOutage(const std::string& leader) {
+    const int from = random_.Between(2, 10);
+    RefuseStoreCalls(from, random_.Between(20, 80), leader);
+    ScheduleOutage(from + random_.Between(1, 6), random_.Between(46, 75));
+    if (random_.Chance(0.4))
       for (const std::string& other : labels_)
-        if (other != leader && draw_.Chance(0.7)) {
-          Partition(from, 70, leader, other);
-          if (draw_.Chance(0.7)) Partition(from, 70, other, leader);
+        if (other != leader && random_.Chance(0.7)) {
+          PartitionControllers(from, 70, leader, other);
+          if (random_.Chance(0.7)) PartitionControllers(from, 70, other, leader);
         }
-    if (draw_.Chance(0.5))
-      RestartController(from + draw_.Between(1, 7), draw_.Below(4), draw_.Of(labels_));
+    if (random_.Chance(0.5))
+      RestartController(from + random_.Between(1, 7), random_.Below(4), random_.Pick(labels_));
   }
 
-  void PlanFault() {
-    const int from = draw_.Between(1, 60);
-    const int length = draw_.Between(1, 60);
-    const std::string a = draw_.Of(labels_);
-    const std::string b = draw_.Of(labels_);
+  void ScheduleRandomFault() {
+    const int from = random_.Between(1, 60);
+    const int length = random_.Between(1, 60);
+    const std::string a = random_.Pick(labels_);
+    const std::string b = random_.Pick(labels_);
     Machine& machine = *std::next(cluster_.machines.begin(),
-                                  draw_.Below(static_cast<int>(cluster_.machines.size())));
-    switch (draw_.Below(16)) {
+                                  random_.Below(static_cast<int>(cluster_.machines.size())));
+    switch (random_.Below(16)) {
       case 0:
-        return Refuse(from, length, a);
+        return RefuseStoreCalls(from, length, a);
       case 1:
-        return StartOutage(from, length);
+        return ScheduleOutage(from, length);
       case 2:
-        Partition(from, length, a, b);
-        if (draw_.Chance(0.6)) Partition(from, length, b, a);
+        PartitionControllers(from, length, a, b);
+        if (random_.Chance(0.6)) PartitionControllers(from, length, b, a);
         return;
       case 3:
-        return RestartController(from, draw_.Below(8), a);
+        return RestartController(from, random_.Below(8), a);
       case 4:
-        NoteFault("all crash");
+        RecordFault("all crash");
         for (const std::string& label : labels_)
-          RestartController(from + draw_.Below(2), draw_.Below(7), label);
+          RestartController(from + random_.Below(2), random_.Below(7), label);
         return;
       case 5:
         return PauseController(from, length, a);
       case 6:
-        NoteFault("receives nothing");
-        PlanAt(from, "a machine receives nothing", [&machine] { machine.receives_nothing = true; });
-        return PlanAt(from + length, "and receives again",
+        RecordFault("receives nothing");
+        ScheduleAt(from, "a machine receives nothing", [&machine] { machine.receives_nothing = true; });
+        return ScheduleAt(from + length, "and receives again",
                       [&machine] { machine.receives_nothing = false; });
       case 7:
-        NoteFault("slow heartbeats");
-        PlanAt(from, "a machine is answered slowly",
+        RecordFault("slow heartbeats");
+        ScheduleAt(from, "a machine is answered slowly",
                [&machine] { machine.slow_heartbeats = true; });
-        return PlanAt(from + length, "and at once",
+        return ScheduleAt(from + length, "and at once",
                       [&machine] { machine.slow_heartbeats = false; });
       case 8:
         return RepeatHeartbeats(from, length);
       case 9:
-        NoteFault("leaders restart");
-        for (int k = 0; k < 4; ++k) RestartLeader(from + k * draw_.Between(1, 9));
+        RecordFault("leaders restart");
+        for (int k = 0; k < 4; ++k) RestartLeader(from + k * random_.Between(1, 9));
         return;
       case 11:
         return KillMachine(from, machine);
       case 12:
         return PartitionMachinesOfAZone(from);
       case 13:
-        return SendNothing(from, machine);
+        return StopHeartbeats(from, machine);
       case 14:
-        return LimitRate(from, length);
+        return RateLimitStoreCalls(from, length);
       case 15:
-        return DisconnectMachinesForAboutALease(from);
+        return DisconnectMachinesNearLeaseDuration(from);
       default:
         return DelayCommands(from, length);
     }
@@ -306,30 +306,30 @@
 
   // ---- What users and tasks do each second
   void RunSecond(int second) {
-    for (auto [it, last] = plan_.equal_range(second); it != last; ++it) it->second();
-    if (!cluster_.store.outage && draw_.Chance(0.08)) HoldBackTheNextWrite(second);
+    for (auto [it, last] = schedule_.equal_range(second); it != last; ++it) it->second();
+    if (!cluster_.store.outage && random_.Chance(0.08)) DelayNextWrite(second);
     CancelDueJobs(second);
-    for (const auto& [job, tasks] : cluster_.jobs) cluster_.Poll(job, draw_.Of(labels_));
-    CompleteSomeTasks();
-    FailSomeTasks();
+    for (const auto& [job, tasks] : cluster_.jobs) cluster_.Poll(job, random_.Pick(labels_));
+    CompleteRandomTasks();
+    FailRandomTasks();
     // More work for the team at its limit.
-    if (second == 12) cluster_.Submit("j-7", 2, draw_.Of(labels_));
-    if (draw_.Chance(0.05)) cluster_.Submit("j-3", cluster_.jobs["j-3"], draw_.Of(labels_));
+    if (second == 12) cluster_.Submit("j-7", 2, random_.Pick(labels_));
+    if (random_.Chance(0.05)) cluster_.Submit("j-3", cluster_.jobs["j-3"], random_.Pick(labels_));
     cluster_.StepOneSecond();
   }
 
-  void HoldBackTheNextWrite(int second) {
+  void DelayNextWrite(int second) {
     cluster_.store.next_commit =
-        draw_.Chance(0.6) ? FakeStore::Fault::kCommitLate : FakeStore::Fault::kLoseResponse;
-    cluster_.late_writes.push_back(cluster_.now + Seconds{1.0 * draw_.Between(2, 12)});
-    NoteFault("late writes");
+        random_.Chance(0.6) ? FakeStore::Fault::kCommitLate : FakeStore::Fault::kLoseResponse;
+    cluster_.late_writes.push_back(cluster_.now + Seconds{1.0 * random_.Between(2, 12)});
+    RecordFault("late writes");
     result_.fault_log += std::to_string(second) + " s: a write is late\n";
   }
 
   void CancelDueJobs(int second) {
     for (const auto& [job, from] : cancel_at_) {
       if (second < from || cluster_.acknowledged_cancellations.contains(job)) continue;
-      const std::string& via = draw_.Of(labels_);
+      const std::string& via = random_.Pick(labels_);
       if (cluster_.Cancel(job, via) == "withdrawn")
         result_.fault_log += std::to_string(second) + " s: the cancellation of " + job +
                              " acknowledged by " + via + "\n";
@@ -337,11 +337,11 @@
   }
 
   // One by one, far apart.
-  void CompleteSomeTasks() {
+  void CompleteRandomTasks() {
     for (Machine& machine : cluster_.machines)
       for (std::uint32_t i = 0; i < 3; ++i) {
         const TaskId task{{"j-4"}, i};
-        if (draw_.Chance(0.02) && machine.worker.HasLiveTask(task) && !machine.removed) {
+        if (random_.Chance(0.02) && machine.worker.HasLiveTask(task) && !machine.removed) {
           machine.worker.End(task, ExitReason::kDone);
           cluster_.completed.insert(task);
         }
@@ -349,13 +349,13 @@
   }
 
   // Some fail, and are run again.
-  void FailSomeTasks() {
+  void FailRandomTasks() {
     for (Machine& machine : cluster_.machines)
       for (const char* job : {"j-3", "j-5", "j-6"})
         for (std::uint32_t i = 0; i < 3; ++i)
-          if (draw_.Chance(0.01) && !machine.removed)
+          if (random_.Chance(0.01) && !machine.removed)
             machine.worker.End({{job}, i},
-                               draw_.Chance(0.5) ? ExitReason::kError : ExitReason::kStopped);
+                               random_.Chance(0.5) ? ExitReason::kError : ExitReason::kStopped);
   }
 
   // ---- The end: late writes land, and everybody is answered
@@ -376,7 +376,7 @@
           machine.partitioned = false;
   }
 
-  void PollEveryJobEverywhere() {
+  void PollAllJobsAtAllControllers() {
     for (const auto& [job, tasks] : cluster_.jobs)
       for (const std::string& label : labels_) {
         const std::string state = cluster_.Poll(job, label);
@@ -387,11 +387,11 @@
       }
   }
 
-  StandardDraw draw_;
+  StandardRandom random_;
   SimulatedCluster cluster_;
   const std::vector<std::string>& labels_;
   SeedResult result_;
-  std::multimap<int, std::function<void()>> plan_;
+  std::multimap<int, std::function<void()>> schedule_;
   std::map<std::string, int> cancel_at_;
 };
 
--- a/tests/stepped_fault_sweep_test.cc
+++ b/tests/stepped_fault_sweep_test.cc
@@ -12,16 +12,16 @@
 namespace magpie::testing {
 namespace {
 
-std::pair<std::uint64_t, std::uint64_t> Seeds(std::uint64_t from, std::uint64_t to) {
-  const char* chosen = std::getenv("MAGPIE_SEEDS");
-  if (chosen == nullptr) return {from, to};
-  const std::string text = chosen;
+std::pair<std::uint64_t, std::uint64_t> SeedRange(std::uint64_t from, std::uint64_t to) {
+  const char* manual_range = std::getenv("MAGPIE_SEEDS");
+  if (manual_range == nullptr) return {from, to};
+  const std::string text = manual_range;
   const auto dots = text.find("..");
   return {std::stoull(text.substr(0, dots)), std::stoull(text.substr(dots + 2))};
 }
 
 TEST(SteppedFaultSweepTest, NoInvariantIsViolated) {
-  const auto [from, to] = Seeds(1, 300);
+  const auto [from, to] = SeedRange(1, 300);
   std::map<std::pair<std::string, std::string>, int> pairs;
   for (std::uint64_t seed = from; seed <= to; ++seed) {
     const SeedResult result = RunSteppedSeed(seed, BrokenBroadcast::kNone);
@@ -41,12 +41,12 @@
 
 // The sweep can fail: with the cancellation broadcast broken on purpose it finds a seed.
 TEST(SteppedFaultSweepTest, BrokenCancellationBroadcastIsDetected) {
-  for (const BrokenBroadcast how : {BrokenBroadcast::kAsksNoPeer, BrokenBroadcast::kAsksOnePeerOnly,
-                                    BrokenBroadcast::kForgetsAcknowledgement}) {
+  for (const BrokenBroadcast defect : {BrokenBroadcast::kNotifiesNoPeer, BrokenBroadcast::kNotifiesOnePeer,
+                                    BrokenBroadcast::kAcknowledgesWithoutRecording}) {
     bool found = false;
     for (std::uint64_t seed = 1; seed <= 300 && !found; ++seed)
-      found = RunSteppedSeed(seed, how).violations.contains("ran_cancelled");
-    EXPECT_TRUE(found) << static_cast<int>(how);
+      found = RunSteppedSeed(seed, defect).violations.contains("ran_cancelled");
+    EXPECT_TRUE(found) << static_cast<int>(defect);
   }
 }
 
