--- a/tests/fault_scenario_test.cc
+++ b/tests/fault_scenario_test.cc
@@ -1,6 +1,6 @@
-// The combinations of faults of docs/notes/fault-combinations.md, one scenario each: whole
-// controllers in virtual time, two faults at once, the invariants checked throughout, and at the
-// end every accepted job over or running. What a scenario expects beside that it checks itself.
+// Runs the fault combinations of docs/notes/fault-combinations.md, one scenario each, on complete
+// controllers in virtual time. Invariants are checked throughout, and at the end every accepted job
+// must be final or running. Scenarios check further expectations themselves.
 #include <gtest/gtest.h>
 
 #include "fault_scenarios.h"
@@ -11,7 +11,7 @@
 struct FaultScenario {
   const char* name;
   std::function<void(ScenarioCluster&)> script;
-  int settle_s = 60;  // from the end of the faults until the final state must be reached
+  int settle_s = 60;  // time from the end of the faults to the final checks
 };
 
 std::ostream& operator<<(std::ostream& out, const FaultScenario& scenario) {
@@ -37,36 +37,36 @@
     Scenarios, FaultScenarioTest,
     ::testing::Values(
         FaultScenario{"ZoneBoundJobsLoseMachines", ZoneBoundJobsLoseMachines},
-        FaultScenario{"ZoneWithoutMachinesDelaysNoOtherJob", ZoneWithoutMachinesDoesNotDelayOtherJobs},
-        FaultScenario{"PollsEverywhere", PollsAllControllersAroundStateChanges},
-        FaultScenario{"CancelledAtTheEndOfTheLastTask", CancellationWhenLastTaskEnds},
-        FaultScenario{"OnlyTheAnswerIsLostWhileOthersRead", StoreResponseLostDuringReads},
-        FaultScenario{"StaleHeartbeatsReachEveryControllerDuringATakeover",
+        FaultScenario{"ZoneWithoutMachinesDoesNotDelayOtherJobs",
+                      ZoneWithoutMachinesDoesNotDelayOtherJobs},
+        FaultScenario{"PollsAllControllers", PollsAllControllersAroundStateChanges},
+        FaultScenario{"CancellationWhenLastTaskEnds", CancellationWhenLastTaskEnds},
+        FaultScenario{"StoreResponseLostDuringReads", StoreResponseLostDuringReads},
+        FaultScenario{"StaleHeartbeatsAtAllControllersDuringTakeover",
                       StaleHeartbeatsAtAllControllersDuringTakeover},
-        FaultScenario{"HeartbeatIsDelayedUntilANewLeaderHasActed",
-                      HeartbeatDelayedUntilNewLeaderActed},
-        FaultScenario{"TenChangesOfLeaderInTwoMinutes", TenLeaderChangesInTwoMinutes},
-        FaultScenario{"AllControllersAreDownForLongerThanALease",
-                      AllControllersDownBeyondLease},
-        FaultScenario{"CommandOfAFormerLeaderArrivesLate", LateCommandFromFormerLeader},
-        FaultScenario{"CancelledDuringAHandover", CancellationDuringHandover},
-        FaultScenario{"CancelledAtTheQuotaOnUnreachableMachines",
+        FaultScenario{"HeartbeatDelayedUntilNewLeaderActed", HeartbeatDelayedUntilNewLeaderActed},
+        FaultScenario{"TenLeaderChangesInTwoMinutes", TenLeaderChangesInTwoMinutes},
+        FaultScenario{"AllControllersDownBeyondLease", AllControllersDownBeyondLease},
+        FaultScenario{"LateCommandFromFormerLeader", LateCommandFromFormerLeader},
+        FaultScenario{"CancellationDuringHandover", CancellationDuringHandover},
+        FaultScenario{"CancellationAtQuotaOnUnreachableMachines",
                       CancellationAtQuotaOnUnreachableMachinesDuringTakeover},
-        FaultScenario{"ZoneWithAControllerIsPartitionedForLongerThanALease",
+        FaultScenario{"ZoneWithControllerPartitionedBeyondLease",
                       ZoneWithControllerPartitionedBeyondLease},
-        FaultScenario{"MachinesThatSendNothingLoseTheirLeases",
+        FaultScenario{"MachinesWithoutHeartbeatsLoseLeases",
                       MachinesWithoutHeartbeatsLoseLeasesDespiteProbes},
-        FaultScenario{"CancelledAtTheRefusal", CancellationWhenStoreRefusesLeaderBeforeOutage},
-        FaultScenario{"LeadershipMovesBackAndForthAndAllCrash",
+        FaultScenario{"CancellationWhenStoreRefusesLeader",
+                      CancellationWhenStoreRefusesLeaderBeforeOutage},
+        FaultScenario{"LeadershipAlternatesThenAllControllersCrash",
                       LeadershipAlternatesThenAllControllersCrash},
-        FaultScenario{"TasksEndFarApartAcrossLeaders", TasksEndUnderDifferentLeaders},
-        FaultScenario{"LeaderCrashesWhileMachinesAreUnreachable",
+        FaultScenario{"TasksEndUnderDifferentLeaders", TasksEndUnderDifferentLeaders},
+        FaultScenario{"LeaderCrashesWhileMachinesUnreachable",
                       LeaderCrashesWhileMachinesUnreachable},
-        FaultScenario{"QuickBootsWhileWritesLag", FastBootsWithLateWritesAndLeaderCrash},
+        FaultScenario{"FastBootsWithLateWrites", FastBootsWithLateWritesAndLeaderCrash},
         FaultScenario{"OverloadWithSlowHeartbeatsAndCommands",
                       OverloadWithSlowHeartbeatsAndCommands},
-        FaultScenario{"InvalidRequestsAreNeverAccepted", InvalidRequestsAreRejected},
-        FaultScenario{"OneTaskJobsFourASecond", FourSingleTaskJobsPerSecondQuarterCancelled}),
+        FaultScenario{"InvalidRequestsAreRejected", InvalidRequestsAreRejected},
+        FaultScenario{"FourSingleTaskJobsPerSecond", FourSingleTaskJobsPerSecondQuarterCancelled}),
     [](const auto& info) { return std::string(info.param.name); });
 
 }  // namespace
--- a/tests/fault_scenarios.h
+++ b/tests/fault_scenarios.h
@@ -1,5 +1,5 @@
-// The scenarios of fault_scenario_test.cc: each injects its faults into a running cluster and
-// checks what it expects beside the invariants. A failed expectation fails the test that runs it.
+// Scenarios run by fault_scenario_test.cc. Each injects faults into a running cluster and checks
+// its own expectations beside the invariants; a failed expectation fails the test that runs it.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
 void InvalidRequestsAreRejected(ScenarioCluster& cluster);
 void FourSingleTaskJobsPerSecondQuarterCancelled(ScenarioCluster& cluster);
 
-// ---- Changes of leader (leader_fault_scenarios.cc)
+// ---- Leader changes (leader_fault_scenarios.cc)
 void StaleHeartbeatsAtAllControllersDuringTakeover(ScenarioCluster& cluster);
 void HeartbeatDelayedUntilNewLeaderActed(ScenarioCluster& cluster);
 void TenLeaderChangesInTwoMinutes(ScenarioCluster& cluster);
--- a/tests/fault_sweep.h
+++ b/tests/fault_sweep.h
@@ -1,4 +1,4 @@
-// The fault sweep: combinations of faults and the order of all events, drawn by seed.
+// Fault sweep: the seed determines the injected faults and the order of all events.
 #pragma once
 
 #include <cstdint>
@@ -9,16 +9,16 @@
 
 namespace magpie::testing {
 
-// What the run of a seed did.
+// Outcome of one seed.
 struct SeedResult {
-  std::set<std::string> violations;  // names of the invariants that were violated
-  std::set<std::string> faults;      // kinds of fault that the seed drew
-  std::string fault_log;             // what was injected and when, for failure messages
+  std::set<std::string> violations;  // names of violated invariants
+  std::set<std::string> faults;      // kinds of injected fault
+  std::string fault_log;             // injected faults with their times, for failure messages
   std::size_t event_count = 0;
 };
 
-// Runs one seed: a minute and a half of faults, then a quiet time after which all must be well.
-// What controllers send is recorded in `decisions`, if there is one.
+// Runs one seed: a phase with faults, then a recovery phase, after which all controllers must
+// report all accepted jobs. Records the controllers' decisions in `decisions` unless it is null.
 SeedResult RunSeed(std::uint64_t seed, BrokenBroadcast broken_broadcast = BrokenBroadcast::kNone,
                    DecisionDigest* decisions = nullptr);
 
--- a/tests/fault_sweep_test.cc
+++ b/tests/fault_sweep_test.cc
@@ -1,5 +1,5 @@
-// No invariant is violated in any seed of the sweep. CI runs some hundred fixed seeds, in shards
-// that ctest runs in parallel; MAGPIE_SEEDS=FROM..TO runs others by hand (shard 0 alone).
+// Runs the fault sweep over 400 fixed seeds, in shards that ctest runs in parallel.
+// MAGPIE_SEEDS=FROM..TO replaces the seeds for manual runs (run shard 0 only).
 #include "fault_sweep.h"
 
 #include <gtest/gtest.h>
@@ -38,12 +38,12 @@
     max_events = std::max(max_events, result.event_count);
   }
   if (manual_range == nullptr) return;
-  std::cout << "most events of a seed: " << max_events << "\n";
+  std::cout << "maximum events per seed: " << max_events << "\n";
   for (const auto& [fault, seeds] : faults)
     std::cout << "seeds with " << fault << ": " << seeds << "\n";
 }
 
-// The result is the same every time: nothing depends on addresses or real clocks.
+// Guards against results that depend on addresses or real clocks.
 TEST(FaultSweepDeterminismTest, SameSeedGivesSameResult) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     DecisionDigest decisions_once;
@@ -68,7 +68,7 @@
   }
 }
 
-// Each kind of decision is recorded, so that a change of any of them shows.
+// The digest detects changes only in decisions that are recorded.
 TEST(FaultSweepDeterminismTest, TraceContainsEveryDecisionKind) {
   std::ostringstream trace;
   DecisionDigest decisions(&trace);
--- a/tests/fiber.h
+++ b/tests/fiber.h
@@ -1,6 +1,5 @@
-// Threads of control that one thread runs in turn, in an order that the test chooses: each goes
-// on until it waits. So a controller's call can be in the middle of something while others act,
-// with the same interleaving every time.
+// Cooperative fibers on one thread. Each runs until it waits, and the test chooses which one
+// resumes. Calls of several controllers can thus interleave in a reproducible order.
 #pragma once
 
 #include <ucontext.h>
@@ -31,16 +30,16 @@
   Fiber(const Fiber&) = delete;
   Fiber& operator=(const Fiber&) = delete;
 
-  // The one that runs now; none: the test itself.
+  // The running fiber; null while the test itself runs.
   static Fiber* Current() { return current_; }
   bool idle() const { return work_ == nullptr; }
 
-  // Runs `work` until it waits or ends. Only for one that is idle, from the test itself.
+  // Runs `work` until it waits or ends. The fiber must be idle and the caller outside all fibers.
   void Run(std::function<void()> work) {
     work_ = std::move(work);
     Resume();
   }
-  // Goes on with work that waits.
+  // Resumes waiting work until it waits again or ends.
   void Resume() {
     current_ = this;
     StartSwitch(&caller_fake_stack_, stack_.get(), kStackBytes);
@@ -48,7 +47,7 @@
     FinishSwitch(caller_fake_stack_, nullptr, nullptr);
     current_ = nullptr;
   }
-  // Waits until it is resumed. Only from the fiber itself.
+  // Suspends the running fiber until Resume(). Called only from the fiber itself.
   void Wait() {
     StartSwitch(&fiber_fake_stack_, caller_stack_bottom_, caller_stack_size_);
     swapcontext(&fiber_context_, &caller_context_);
@@ -87,12 +86,12 @@
   ucontext_t caller_context_{};
   void* fiber_fake_stack_ = nullptr;
   void* caller_fake_stack_ = nullptr;
-  const void* caller_stack_bottom_ = nullptr;  // the test's stack, as the sanitizer knows it
+  const void* caller_stack_bottom_ = nullptr;  // the caller's stack, as reported by the sanitizer
   std::size_t caller_stack_size_ = 0;
   std::function<void()> work_;
 };
 
-// Fibers that are used again and again.
+// Reuses idle fibers and allocates new ones on demand.
 class FiberPool {
  public:
   Fiber& AcquireIdle() {
--- a/tests/job_fault_scenarios.cc
+++ b/tests/job_fault_scenarios.cc
@@ -1,10 +1,10 @@
-// Scenarios of jobs, machines and users that meet faults.
+// Fault scenarios that concern jobs, machines and users.
 #include "fault_scenarios.h"
 
 namespace magpie::testing {
 
-// An array and a service of zone a lose one of its machines, then the other. They go on in
-// their zone alone, and wait for a machine there when there is none.
+// An array job and a service restricted to zone a lose one of its machines, then the other. Their
+// tasks must run only in that zone and wait while it has no machine.
 void ZoneBoundJobsLoseMachines(ScenarioCluster& cluster) {
   cluster.RestrictToZone("j-10", "a");
   cluster.job_overrides["j-11"] = [](JobSpec& spec) {
@@ -19,36 +19,38 @@
   cluster.KillMachine(cluster.MachineAt(0));
   cluster.Run(50);
   EXPECT_EQ(cluster.LiveTasks("j-10") + cluster.LiveTasks("j-11"), 4U)
-      << "on the machine that is left";
-  cluster.ForEachMachine("a", [&](ScenarioCluster::Machine& m) { cluster.KillMachine(m); });
+      << "all tasks must run on the remaining machine";
+  cluster.ForEachMachine("a",
+                         [&](ScenarioCluster::Machine& machine) { cluster.KillMachine(machine); });
   cluster.RestartLeader();
   cluster.Run(60);
-  EXPECT_EQ(cluster.LiveTasks("j-10") + cluster.LiveTasks("j-11"), 0U)
-      << "nothing of the zone is left";
+  EXPECT_EQ(cluster.LiveTasks("j-10") + cluster.LiveTasks("j-11"), 0U) << "the zone has no machine";
   cluster.PollAllControllers("j-10");
   cluster.machines_per_zone["a"] = 1;
 }
 
-// The zone of a job has no machine. Its team's other jobs do not wait for it.
+// A job waits for a machine in its zone; other jobs of its team must not wait for it.
 void ZoneWithoutMachinesDoesNotDelayOtherJobs(ScenarioCluster& cluster) {
   cluster.RestrictToZone("j-10", "a", "blue");
   cluster.job_overrides["j-11"] = [](JobSpec& spec) { spec.team = "blue"; };
   cluster.machines_per_zone["a"] = 0;
-  cluster.ForEachMachine("a", [&](ScenarioCluster::Machine& m) { cluster.KillMachine(m); });
+  cluster.ForEachMachine("a",
+                         [&](ScenarioCluster::Machine& machine) { cluster.KillMachine(machine); });
   ASSERT_TRUE(cluster.Submit("j-10", 4, "n0"));
   cluster.Run(40);
   ASSERT_TRUE(cluster.Submit("j-11", 2, "n0"));
   cluster.Run(20);
-  EXPECT_EQ(cluster.LiveTasks("j-11"), 2U) << "its team is under its limit";
+  EXPECT_EQ(cluster.LiveTasks("j-11"), 2U) << "the team is below its limit";
   cluster.CompleteAllTasks("j-11");
   cluster.machines_per_zone["a"] = 1;
 }
 
+// Users poll all controllers around acceptance, completion and cancellation of jobs.
 void PollsAllControllersAroundStateChanges(ScenarioCluster& cluster) {
   for (int i = 0; i < 6; ++i) {
     const std::string job = "j-2" + std::to_string(i);
     cluster.SubmitAndPoll(job, 1, cluster.labels[static_cast<std::size_t>(i) % 3]);
-    if (i % 3 == 0) cluster.CancelAndPoll(job, cluster.labels[1]);  // at once
+    if (i % 3 == 0) cluster.CancelAndPoll(job, cluster.labels[1]);  // immediately after acceptance
     for (int k = 0; k < 3; ++k) {
       cluster.Run(1);
       cluster.PollAllControllers(job);
@@ -67,18 +69,18 @@
   }
 }
 
-// A cancellation, a question and a repeated submission in the very second of the last end,
-// before, at and after its report.
+// Users cancel, query and resubmit a job when its last task ends: before, during and after the
+// heartbeat that reports it.
 void CancellationWhenLastTaskEnds(ScenarioCluster& cluster) {
-  for (int report_delay_s = 0; report_delay_s < 5; ++report_delay_s) {
-    const std::string job = "j-2" + std::to_string(report_delay_s);
+  for (int cancel_delay_s = 0; cancel_delay_s < 5; ++cancel_delay_s) {
+    const std::string job = "j-2" + std::to_string(cancel_delay_s);
     ASSERT_TRUE(cluster.Submit(job, 2, "n0"));
     cluster.Run(6);
     ASSERT_EQ(cluster.LiveTasks(job), 2U);
     cluster.CompleteTask({{job}, 0});
     cluster.Run(4);
     cluster.CompleteTask({{job}, 1});
-    for (int i = 0; i < report_delay_s; ++i) cluster.Run(1);
+    for (int i = 0; i < cancel_delay_s; ++i) cluster.Run(1);
     for (const std::string& label : cluster.labels) cluster.CancelAndPoll(job, label);
     cluster.Run(6);
     cluster.PollAllControllers(job);
@@ -88,34 +90,36 @@
   }
 }
 
-// Each write in turn is carried out and only its answer is lost, while all others read it.
+// Each write is committed but its response is lost, while users read the new state.
 void StoreResponseLostDuringReads(ScenarioCluster& cluster) {
   for (int i = 0; i < 8; ++i) {
     const std::string job = "j-2" + std::to_string(i);
-    const auto lose = [&] { cluster.store.next_commit = FakeStore::Fault::kLoseResponse; };
-    lose();
+    const auto lose_next_response = [&] {
+      cluster.store.next_commit = FakeStore::Fault::kLoseResponse;
+    };
+    lose_next_response();
     cluster.SubmitAndPoll(job, 1, cluster.labels[static_cast<std::size_t>(i) % 3]);
-    ASSERT_TRUE(cluster.jobs.contains(job)) << "its second try finds that it was accepted";
-    lose();  // of its binding
+    ASSERT_TRUE(cluster.jobs.contains(job)) << "the retry must find the job accepted";
+    lose_next_response();  // the write of the binding
     cluster.Run(1);
     cluster.PollAllControllers(job);
     cluster.Run(4);
-    lose();  // of either mark, or of its end
+    lose_next_response();  // one of the cancellation's two writes, or the final record
     if (i % 2 == 0) {
       EXPECT_TRUE(cluster.CancelWithin(job, 4));
     } else {
       cluster.CompleteAllTasks(job);
     }
     for (int k = 0; k < 4; ++k) {
-      lose();
+      lose_next_response();
       cluster.Run(1);
       cluster.PollAllControllers(job);
     }
   }
 }
 
-// The team is at its limit, its jobs are cancelled while their machines are cut off or hang,
-// and the leader changes: what comes next begins only when the rest is certainly gone.
+// A team's jobs are cancelled at its quota while their machines are unreachable and the leader
+// changes. Further tasks must start only when the cancelled ones have certainly ended.
 void CancellationAtQuotaOnUnreachableMachinesDuringTakeover(ScenarioCluster& cluster) {
   for (const char* job : {"j-10", "j-11", "j-12", "j-13"})
     cluster.job_overrides[job] = [](JobSpec& spec) { spec.team = "blue"; };
@@ -124,9 +128,9 @@
   ASSERT_TRUE(cluster.Submit("j-12", 2, "n0"));
   cluster.Run(6);
   ASSERT_EQ(cluster.LiveTasks("j-10") + cluster.LiveTasks("j-11") + cluster.LiveTasks("j-12"), 4U);
-  for (auto& m : cluster.machines)
-    (m.worker.zone() == "a" ? m.partitioned : m.receives_nothing) =
-        m.worker.HasLiveTask({{"j-10"}, 0}) || m.worker.HasLiveTask({{"j-11"}, 1});
+  for (auto& machine : cluster.machines)
+    (machine.worker.zone() == "a" ? machine.partitioned : machine.receives_nothing) =
+        machine.worker.HasLiveTask({{"j-10"}, 0}) || machine.worker.HasLiveTask({{"j-11"}, 1});
   cluster.CancelAndPoll("j-10", "n1");
   cluster.StopController(cluster.Leader());
   cluster.CancelAndPoll("j-11", cluster.Follower());
@@ -138,8 +142,8 @@
   EXPECT_TRUE(cluster.CancelWithin("j-11", 40));
 }
 
-// A zone goes on inside a cut longer than a lease, with a controller of ours in it: no lease
-// is lost, nothing is begun twice, and what is cancelled outside ends there too.
+// A zone and a controller in it are partitioned for longer than a lease. The controller must keep
+// the workers' leases, no task may run twice, and jobs cancelled outside must end in the zone too.
 void ZoneWithControllerPartitionedBeyondLease(ScenarioCluster& cluster) {
   const std::string inside_controller = cluster.Follower();
   cluster.RestrictToZone("j-10", "b");
@@ -150,7 +154,7 @@
   for (int i = 0; i < 30; ++i) {
     cluster.StepInsidePartition("b", inside_controller);
     if (i == 10) {
-      EXPECT_EQ(cluster.Cancel("j-10", cluster.Leader()), "") << "one can't be asked";
+      EXPECT_EQ(cluster.Cancel("j-10", cluster.Leader()), "") << "a peer is unreachable";
     }
   }
   EXPECT_EQ(cluster.LeasesLost(), leases_lost);
@@ -159,23 +163,26 @@
   EXPECT_TRUE(cluster.CancelWithin("j-10", 20));
 }
 
-// Machines reach nobody, while commands and probes reach them. An answered probe keeps no
-// lease: what runs there ends, and begins on machines that report.
+// Machines cannot send heartbeats but receive commands and probes. Probe responses must not renew
+// leases: their tasks end and are started on machines that send heartbeats.
 void MachinesWithoutHeartbeatsLoseLeasesDespiteProbes(ScenarioCluster& cluster) {
-  cluster.ForEachMachine("a", [](auto& m) { m.sends_nothing = true; });
+  cluster.ForEachMachine("a", [](auto& machine) { machine.sends_nothing = true; });
   cluster.Run(30);
-  EXPECT_EQ(cluster.MachineAt(0).worker.LiveTaskCount() + cluster.MachineAt(2).worker.LiveTaskCount(), 0U)
-      << "nothing is begun where no lease is kept";
+  EXPECT_EQ(
+      cluster.MachineAt(0).worker.LiveTaskCount() + cluster.MachineAt(2).worker.LiveTaskCount(), 0U)
+      << "no task may start on machines without a lease";
   EXPECT_EQ(cluster.LiveTasks("j-1") + cluster.LiveTasks("j-2"), 4U);
   ASSERT_TRUE(cluster.Submit("j-10", 3, "n0"));
   cluster.Run(10);
-  EXPECT_EQ(cluster.MachineAt(0).worker.LiveTaskCount() + cluster.MachineAt(2).worker.LiveTaskCount(), 0U);
+  EXPECT_EQ(
+      cluster.MachineAt(0).worker.LiveTaskCount() + cluster.MachineAt(2).worker.LiveTaskCount(),
+      0U);
   EXPECT_EQ(cluster.LiveTasks("j-10"), 3U);
   EXPECT_TRUE(cluster.CancelWithin("j-1", 5));
   cluster.Run(30);
 }
 
-// Cancelled in the second in which the leader is refused; a second later it is out for all.
+// Users cancel when the key-value store refuses the leader; a second later it refuses everyone.
 void CancellationWhenStoreRefusesLeaderBeforeOutage(ScenarioCluster& cluster) {
   const std::string leader = cluster.Leader();
   for (const char* job : {"j-10", "j-11"}) ASSERT_TRUE(cluster.Submit(job, 2, "n0"));
@@ -192,10 +199,10 @@
   for (const char* job : {"j-1", "j-10", "j-11"}) EXPECT_TRUE(cluster.CancelWithin(job, 10)) << job;
 }
 
-// Three times as much work as room, urgent and not, with reports and commands that take seconds.
-// Every job has its turn, or is cancelled in time.
+// Jobs of all priorities need three times the capacity, while heartbeats and commands take seconds.
+// Every job must run to completion or be cancelled in time.
 void OverloadWithSlowHeartbeatsAndCommands(ScenarioCluster& cluster) {
-  std::vector<std::string> open;
+  std::vector<std::string> unfinished;
   for (int i = 0; i < 24; ++i) {
     const std::string job = "j-" + std::to_string(100 + i);
     cluster.job_overrides[job] = [i](JobSpec& spec) {
@@ -203,28 +210,29 @@
       spec.team = i % 3 == 0 ? "blue" : "red";
     };
     ASSERT_TRUE(cluster.Submit(job, 2, cluster.labels[static_cast<std::size_t>(i) % 3]));
-    open.push_back(job);
+    unfinished.push_back(job);
   }
   cluster.delay_command = [&cluster] { return std::optional(cluster.now + Seconds{2}); };
-  for (int second = 0; second < 400 && !open.empty(); ++second) {
-    cluster.ForEachMachine("", [](auto& m) { m.slow_heartbeats = true; });
+  for (int second = 0; second < 400 && !unfinished.empty(); ++second) {
+    cluster.ForEachMachine("", [](auto& machine) { machine.slow_heartbeats = true; });
     if (second % 50 == 30) cluster.RestartLeader();
     if (second % 40 == 10) {
-      EXPECT_TRUE(cluster.CancelWithin(open.back(), 20));
-      open.pop_back();
+      EXPECT_TRUE(cluster.CancelWithin(unfinished.back(), 20));
+      unfinished.pop_back();
     }
     cluster.Run(1);
     if (second % 10 != 9) continue;
-    for (const std::string& job : open) cluster.CompleteAllTasks(job);
-    std::erase_if(open, [&](const std::string& job) {
+    for (const std::string& job : unfinished) cluster.CompleteAllTasks(job);
+    std::erase_if(unfinished, [&](const std::string& job) {
       return cluster.completed.contains({{job}, 0}) && cluster.completed.contains({{job}, 1});
     });
   }
-  EXPECT_EQ(open, std::vector<std::string>{}) << "all have had their turn";
+  EXPECT_EQ(unfinished, std::vector<std::string>{}) << "jobs left unfinished";
 }
 
-// Repeats of unfinished jobs, cancellations of jobs that are done, jobs that fit no machine and
-// jobs that lack a field, at every controller, one of which has no state service.
+// All controllers, one of them without the key-value store, must reject jobs with missing or
+// invalid fields and jobs that fit no machine. They must not cancel unknown or completed jobs, or
+// accept known jobs again.
 void InvalidRequestsAreRejected(ScenarioCluster& cluster) {
   cluster.CompleteAllTasks("j-2");
   cluster.Run(6);
@@ -253,16 +261,16 @@
     }
   for (const std::string& label : cluster.labels) {
     EXPECT_NE(cluster.controllers.at(label)->api.Cancel("j-50").status, 200)
-        << "nobody submitted it";
-    EXPECT_NE(cluster.Cancel("j-2", label), "withdrawn") << "it is done";
+        << "the job was never submitted";
+    EXPECT_NE(cluster.Cancel("j-2", label), "withdrawn") << "the job is done";
     EXPECT_NE(cluster.controllers.at(label)->api.Submit(valid.dump().substr(1)).status, 201);
   }
   cluster.PollAllControllers("j-1");
   cluster.PollAllControllers("j-2");
 }
 
-// Four jobs of one task a second for two minutes, a quarter of them cancelled, some at once,
-// while the lead changes.
+// Users submit four single-task jobs a second for two minutes and cancel a quarter of them
+// immediately, while the leader changes.
 void FourSingleTaskJobsPerSecondQuarterCancelled(ScenarioCluster& cluster) {
   int next = 100;
   std::deque<std::string> running;
--- a/tests/leader_fault_scenarios.cc
+++ b/tests/leader_fault_scenarios.cc
@@ -1,23 +1,26 @@
-// Scenarios in which leaders change while other faults last.
+// Fault scenarios in which the leader changes during other faults.
 #include "fault_scenarios.h"
 
 namespace magpie::testing {
 
-// Reports of before, one or several of each machine, are what every controller hears first
-// as a new leader begins.
+// When a new leader starts, all controllers first receive earlier heartbeats, one or more of each
+// machine.
 void StaleHeartbeatsAtAllControllersDuringTakeover(ScenarioCluster& cluster) {
   cluster.job_overrides["j-10"] = [](JobSpec& spec) { spec.team = "blue"; };
   ASSERT_TRUE(cluster.Submit("j-10", 4, "n0"));
   cluster.Run(6);
   for (int round = 0; round < 6; ++round) {
     std::vector<std::string> stale_heartbeats;
-    for (const auto& m : cluster.machines)
-      stale_heartbeats.push_back(
-          m.sent_heartbeats[m.sent_heartbeats.size() > 5 ? m.sent_heartbeats.size() - 5 : 0]);
+    for (const auto& machine : cluster.machines)
+      stale_heartbeats.push_back(machine.sent_heartbeats[machine.sent_heartbeats.size() > 5
+                                                             ? machine.sent_heartbeats.size() - 5
+                                                             : 0]);
     if (round % 2 == 0) cluster.CompleteAllTasks(round == 0 ? "j-1" : "j-2");
-    if (round % 3 == 1) cluster.ForEachMachine("a", [](auto& m) { m.worker.ExpireLease(); });
+    if (round % 3 == 1)
+      cluster.ForEachMachine("a", [](auto& machine) { machine.worker.ExpireLease(); });
     cluster.Run(2);
-    for (const auto& m : cluster.machines) stale_heartbeats.push_back(m.sent_heartbeats.back());
+    for (const auto& machine : cluster.machines)
+      stale_heartbeats.push_back(machine.sent_heartbeats.back());
     cluster.StopController(cluster.Leader());
     for (int i = 0; i < 9; ++i) {
       for (const std::string& label : cluster.labels)
@@ -33,7 +36,7 @@
   }
 }
 
-// A report on its way to a controller that ends is heard by the next leader, once it has acted.
+// Heartbeats sent before the leader crashes reach the next leader after it has acted.
 void HeartbeatDelayedUntilNewLeaderActed(ScenarioCluster& cluster) {
   for (int round = 0; round < 4; ++round) {
     const std::string former_leader = cluster.Leader();
@@ -43,8 +46,8 @@
     };
     cluster.Run(3);
     cluster.repeat_heartbeat = [] { return std::nullopt; };
-    for (auto& m : cluster.machines)
-      if (round % 2 == 1) m.worker.End({{"j-1"}, 0}, ExitReason::kError);
+    for (auto& machine : cluster.machines)
+      if (round % 2 == 1) machine.worker.End({{"j-1"}, 0}, ExitReason::kError);
     cluster.StopController(former_leader);
     cluster.Run(24);
     cluster.StartController(former_leader);
@@ -52,8 +55,9 @@
   }
 }
 
-// Ten changes in two minutes, by ends and by refusals; then within an outage, where nobody can
-// be elected and all but the leases must outlast it.
+// The leader changes ten times in two minutes, by crashes and refused calls. Controllers then
+// restart during an outage, in which no leader can be elected; all state except leases must survive
+// it.
 void TenLeaderChangesInTwoMinutes(ScenarioCluster& cluster) {
   int changes = 0;
   std::string last = cluster.Leader();
@@ -89,7 +93,7 @@
   }
 }
 
-// Longer than a lease there is nobody. Every task is killed, and all begins again.
+// No controller runs for longer than a lease. Workers must kill all tasks, which then start again.
 void AllControllersDownBeyondLease(ScenarioCluster& cluster) {
   ASSERT_EQ(cluster.Cancel("j-2", "n0"), "withdrawn");
   for (const std::string& label : cluster.labels) cluster.StopController(label);
@@ -100,8 +104,7 @@
   cluster.PollAllControllers("j-2");
 }
 
-// A leader's commands are held up, and arrive when it has ended, or was deposed and lives, and
-// the next one has given commands of its own.
+// Commands of a leader that crashed or was deposed arrive after commands of the next leader.
 void LateCommandFromFormerLeader(ScenarioCluster& cluster) {
   for (int round = 0; round < 6; ++round) {
     const std::string job = "j-2" + std::to_string(round);
@@ -130,8 +133,7 @@
   }
 }
 
-// One controller's work goes to another, and back, and jobs are cancelled in each of these
-// seconds, through each controller.
+// Users cancel jobs through all controllers at different times after a change of leader.
 void CancellationDuringHandover(ScenarioCluster& cluster) {
   for (int second = 0; second < 8; ++second) {
     const std::string job = "j-2" + std::to_string(second);
@@ -150,7 +152,7 @@
   }
 }
 
-// The lead goes over and back, then all end within a second, and one returns before the others.
+// The leadership alternates, then all controllers crash and one restarts before the others.
 void LeadershipAlternatesThenAllControllersCrash(ScenarioCluster& cluster) {
   for (int round = 0; round < 4; ++round) {
     const std::string job = "j-2" + std::to_string(round);
@@ -171,7 +173,7 @@
   }
 }
 
-// The three tasks of a job end far apart: before, between and after two leaders.
+// The three tasks of a job end under different leaders.
 void TasksEndUnderDifferentLeaders(ScenarioCluster& cluster) {
   for (int round = 0; round < 3; ++round) {
     const std::string job = "j-2" + std::to_string(round);
@@ -192,8 +194,8 @@
   }
 }
 
-// The leader ends while machines with long tasks are cut off, and others hear nothing of the
-// next one: first for less than a lease, then for more.
+// The leader crashes while half of the machines are partitioned and the others receive nothing,
+// first for less than a lease, then for longer.
 void LeaderCrashesWhileMachinesUnreachable(ScenarioCluster& cluster) {
   ASSERT_TRUE(cluster.Submit("j-10", 8, "n0"));
   cluster.Run(6);
@@ -201,8 +203,8 @@
   for (const int disconnected_s : {8, 30}) {
     const int leases_lost = cluster.LeasesLost();
     int number = 0;
-    for (auto& m : cluster.machines)
-      (++number % 2 == 0 ? m.partitioned : m.receives_nothing) = true;
+    for (auto& machine : cluster.machines)
+      (++number % 2 == 0 ? machine.partitioned : machine.receives_nothing) = true;
     const std::string leader = cluster.Leader();
     cluster.StopController(leader);
     cluster.Run(disconnected_s);
@@ -214,10 +216,10 @@
   }
 }
 
-// Machines are there within a second and get work at once, while each write lags, and the
-// leader ends before or after its bindings land.
+// Machines boot within a second and receive tasks immediately while writes commit late, and the
+// leader crashes before or after its bindings are committed.
 void FastBootsWithLateWritesAndLeaderCrash(ScenarioCluster& cluster) {
-  const auto lag = [&](int seconds) {
+  const auto delay_next_write = [&](int seconds) {
     cluster.store.next_commit = FakeStore::Fault::kCommitLate;
     cluster.late_writes.push_back(cluster.now + Seconds{1.0 * seconds});
   };
@@ -225,14 +227,14 @@
     const std::string job = "j-2" + std::to_string(round);
     ASSERT_TRUE(cluster.Submit(job, 2, cluster.Follower()));
     cluster.machines_per_zone["a"] = cluster.machines_per_zone["b"] = 2 + round % 3;
-    lag(3 + round);
+    delay_next_write(3 + round);
     cluster.Run(1);
-    lag(2 + round % 4);
+    delay_next_write(2 + round % 4);
     cluster.Run(round % 4);
     const std::string leader = cluster.Leader();
     cluster.StopController(leader);
     cluster.Run(1);
-    lag(5);
+    delay_next_write(5);
     cluster.Run(8);
     cluster.StartController(leader);
     cluster.Run(8);
--- a/tests/random_draw.h
+++ b/tests/random_draw.h
@@ -1,4 +1,4 @@
-// What a seed draws: the same for the same seed.
+// Random numbers determined by a seed.
 #pragma once
 
 #include <cstddef>
@@ -10,7 +10,7 @@
 
 namespace magpie::testing {
 
-// Own arithmetic, since the standard distributions differ between libraries.
+// Does not use the standard distributions, whose results differ between libraries.
 class SeededRandom {
  public:
   explicit SeededRandom(std::uint64_t seed) : state_(seed) {}
--- a/tests/safety_check_test.cc
+++ b/tests/safety_check_test.cc
@@ -1,9 +1,9 @@
-// The sweep can fail: with a check of the safety argument disabled, a seed finds an invariant
-// violated. Compiled with sources of its own that can disable checks (model/safety_checks.h).
+// With a safety check disabled, some seed of the fault sweep must violate an invariant. Built with
+// separately compiled sources in which checks can be disabled (model/safety_checks.h).
 //
-// By hand, MAGPIE_GUARDS="NUMBER..." with MAGPIE_SEEDS=FROM..TO counts the seeds that detect that
-// these checks, all at once, are disabled, and prints the first; MAGPIE_FIRST=1 stops at the first,
-// and MAGPIE_FAULT_LOG=1 prints what was injected.
+// Manual runs: MAGPIE_GUARDS="NUMBER..." disables these checks together, and MAGPIE_SEEDS=FROM..TO
+// selects the seeds. Prints the number of seeds that detect this, and the first three.
+// MAGPIE_FIRST=1 stops at the first, and MAGPIE_FAULT_LOG=1 prints the injected faults.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -18,24 +18,25 @@
 
 using SafetyChecks = std::vector<SafetyCheck>;
 
-// Runs a seed without these checks; the invariants that were violated.
+// Runs a seed with `checks` disabled and returns the violated invariants.
 std::set<std::string> ViolationsWithout(const SafetyChecks& checks, std::uint64_t seed) {
   disabled_safety_checks.reset();
   for (const SafetyCheck check : checks)
     disabled_safety_checks.set(static_cast<std::size_t>(check));
   SeedResult result = RunSeed(seed);
   disabled_safety_checks.reset();
-  result.violations.erase("stale");  // no invariant
+  result.violations.erase("stale");  // not a safety invariant
   if (std::getenv("MAGPIE_FAULT_LOG") != nullptr && !result.violations.empty())
     std::cout << "seed " << seed << "\n" << result.fault_log;
   return result.violations;
 }
 
-// By hand.
+// For manual runs only.
 TEST(SafetyCheckTableTest, CountsSeedsThatDetectDisabledChecks) {
   const char* seeds = std::getenv("MAGPIE_SEEDS");
   const char* numbers = std::getenv("MAGPIE_GUARDS");
-  if (seeds == nullptr || numbers == nullptr) GTEST_SKIP() << "by hand";
+  if (seeds == nullptr || numbers == nullptr)
+    GTEST_SKIP() << "manual run: set MAGPIE_SEEDS and MAGPIE_GUARDS";
   const std::string text = seeds;
   const auto dots = text.find("..");
   const std::uint64_t from = std::stoull(text.substr(0, dots));
@@ -70,7 +71,7 @@
 
 class DisabledSafetyCheckTest : public ::testing::TestWithParam<DisabledCheck> {};
 
-// The first seeds that find them are in docs/notes/fault-combinations.md; the last is seed 49.
+// docs/notes/fault-combinations.md lists the first detecting seed of each check; the largest is 49.
 TEST_P(DisabledSafetyCheckTest, IsDetectedByFixedSeeds) {
   constexpr std::uint64_t kSeeds = 60;
   bool found = false;
@@ -84,18 +85,19 @@
     ::testing::Values(DisabledCheck{"PageCondition", SafetyCheck::kPageCondition},
                       DisabledCheck{"SubmitCondition", SafetyCheck::kSubmitCondition},
                       DisabledCheck{"FinalAfterUnbound", SafetyCheck::kFinalAfterUnbound},
-                      DisabledCheck{"ResultOfUnboundAlone", SafetyCheck::kResultOnlyIfUnbound},
-                      DisabledCheck{"AllControllersTold", SafetyCheck::kAllControllersAcknowledged},
+                      DisabledCheck{"ResultOnlyIfUnbound", SafetyCheck::kResultOnlyIfUnbound},
+                      DisabledCheck{"AllControllersAcknowledged",
+                                    SafetyCheck::kAllControllersAcknowledged},
                       DisabledCheck{"CancelCondition", SafetyCheck::kCancelCondition},
-                      DisabledCheck{"ReadAfterQuestion", SafetyCheck::kReadAfterRequest},
+                      DisabledCheck{"ReadAfterRequest", SafetyCheck::kReadAfterRequest},
                       DisabledCheck{"LiveBeforeFinal", SafetyCheck::kLiveBeforeFinal},
-                      DisabledCheck{"RunOfDurableAlone", SafetyCheck::kStartOnlyDurable},
-                      DisabledCheck{"MayStart", SafetyCheck::kQuotaBeforeStart},
+                      DisabledCheck{"StartOnlyDurable", SafetyCheck::kStartOnlyDurable},
+                      DisabledCheck{"QuotaBeforeStart", SafetyCheck::kQuotaBeforeStart},
                       DisabledCheck{"ReadLatestRecord", SafetyCheck::kReadLatestRecord},
-                      DisabledCheck{"FenceSeen", SafetyCheck::kFencingTokenSeen},
+                      DisabledCheck{"FencingTokenSeen", SafetyCheck::kFencingTokenSeen},
                       DisabledCheck{"RaiseAfterNoAnswer", SafetyCheck::kRaiseAfterNoAnswer},
-                      DisabledCheck{"ReportOrder", SafetyCheck::kHeartbeatOrder},
-                      DisabledCheck{"EndBeforeOurTerm", SafetyCheck::kEndBeforeThisEpoch}),
+                      DisabledCheck{"HeartbeatOrder", SafetyCheck::kHeartbeatOrder},
+                      DisabledCheck{"EndBeforeThisEpoch", SafetyCheck::kEndBeforeThisEpoch}),
     [](const auto& info) { return std::string(info.param.name); });
 
 }  // namespace
--- a/tests/scenario_cluster.h
+++ b/tests/scenario_cluster.h
@@ -1,5 +1,5 @@
-// What fault scenarios need beside SimulatedCluster: users who ask every controller at once, a
-// partitioned zone that goes on working, and the final state that each scenario must reach.
+// Extends SimulatedCluster for fault scenarios: users that poll all controllers, a partitioned zone
+// whose controller keeps serving its workers, and checks of the final state of each scenario.
 #pragma once
 
 #include <set>
@@ -14,7 +14,7 @@
  public:
   using SimulatedCluster::SimulatedCluster;
 
-  // A machine of this number, in the order in which they were added.
+  // The machine at `index` in the order of addition.
   Machine& MachineAt(int index) { return *std::next(machines.begin(), index); }
   std::string Follower() const {
     const std::string leader = Leader();
@@ -22,7 +22,7 @@
                          [&](const std::string& label) { return label != leader && IsUp(label); });
   }
   void RestrictToZone(const std::string& job, const std::string& zone,
-                  const std::string& team = "red") {
+                      const std::string& team = "red") {
     job_overrides[job] = [zone, team](JobSpec& spec) {
       spec.zone = zone;
       spec.team = team;
@@ -30,8 +30,9 @@
   }
 
   // ---- Users
-  // Asks, and submits once more, at every controller. What anybody is told is checked against
-  // all that was told before (Tell); a known job is never new, malformed or impossible.
+  // Queries the job and submits it again at every controller. Each response is checked against all
+  // earlier ones (CheckAnswer), and the known job must not be accepted as new or rejected as
+  // invalid.
   void PollAllControllers(const std::string& job) {
     for (const std::string& label : labels) {
       Poll(job, label);
@@ -54,7 +55,7 @@
     if (jobs.contains(job)) PollAllControllers(job);
     return cancelled;
   }
-  // Repeats the cancellation, as users do, until an answer comes.
+  // Repeats the cancellation until a controller confirms it or `seconds` have passed.
   bool CancelWithin(const std::string& job, int seconds) {
     for (int i = 0; i < seconds; ++i) {
       if (CancelAndPoll(job, labels[static_cast<std::size_t>(i) % labels.size()])) return true;
@@ -74,14 +75,14 @@
   void CompleteAllTasks(const std::string& job) {
     for (std::uint32_t i = 0; i < jobs.at(job); ++i) CompleteTask({{job}, i});
   }
-  // Tasks of jobs that are bound to a zone never run in another.
+  // Checks that tasks of jobs restricted to a zone run only there.
   void CheckZones() {
     for (const Machine& machine : machines)
-      for (const TaskStatus& t : machine.worker.tasks()) {
-        if (machine.removed || t.state == TaskState::kEnded ||
-            !job_overrides.contains(t.task.job.value))
+      for (const TaskStatus& status : machine.worker.tasks()) {
+        if (machine.removed || status.state == TaskState::kEnded ||
+            !job_overrides.contains(status.task.job.value))
           continue;
-        const JobSpec spec = Spec(t.task.job.value, 1);
+        const JobSpec spec = Spec(status.task.job.value, 1);
         if (spec.zone && *spec.zone != machine.worker.zone()) violations.insert("wrong_place");
       }
   }
@@ -93,7 +94,7 @@
     }
   }
 
-  // Keeps the number of machines of each zone, in place of the cloud.
+  // Replaces lost machines in place of the cloud, so that each zone keeps its number of machines.
   std::map<std::string, int> machines_per_zone{{"a", 2}, {"b", 2}};
   void ReplaceMachines() {
     for (const auto& [zone, target] : machines_per_zone) {
@@ -101,7 +102,7 @@
           std::count_if(machines.begin(), machines.end(), [&](const Machine& machine) {
             return !machine.removed && machine.worker.zone() == zone;
           });
-      for (auto n = present; n < target; ++n)
+      for (auto count = present; count < target; ++count)
         machines.emplace_back("m-" + std::to_string(++added_machines_), "small", zone)
             .lease_renewed = now;
     }
@@ -128,7 +129,7 @@
     StopController(leader);
     StartController(leader);
   }
-  // The zone's machines and this controller reach each other and nobody else.
+  // Isolates the zone's machines together with one controller.
   void PartitionZone(const std::string& zone, const std::string& inside_controller) {
     PartitionController(inside_controller);
     controllers.at(inside_controller)->store.refused = true;
@@ -139,11 +140,14 @@
     controllers.at(inside_controller)->store.refused = false;
     ForEachMachine(zone, [](Machine& machine) { machine.partitioned = false; });
   }
-  // A second inside the partition: the zone's machines send heartbeats to its controller.
+  // Advances one second, in which the zone's machines send heartbeats to its controller.
   void StepInsidePartition(const std::string& zone, const std::string& inside_controller) {
     ForEachMachine(zone, [&](Machine& machine) {
-      const HttpResponse response = controllers.at(inside_controller)->heartbeat_handler.Handle(
-          protocol::HeartbeatToJson(machine.worker.Snapshot()).dump(), HeartbeatRoute::kDirect);
+      const HttpResponse response =
+          controllers.at(inside_controller)
+              ->heartbeat_handler.Handle(
+                  protocol::HeartbeatToJson(machine.worker.Snapshot()).dump(),
+                  HeartbeatRoute::kDirect);
       if (response.status != 200) return;
       const protocol::Json answer = protocol::Json::parse(response.body);
       const HeartbeatResponse reply{true,
@@ -174,20 +178,20 @@
       machine.receives_nothing = machine.slow_heartbeats = machine.sends_nothing =
           machine.partitioned = false;
   }
-  // Empty if every accepted job is known to every controller and is over or runs all its tasks;
-  // else what is wrong.
+  // Describes accepted jobs that a controller does not report, or that are not final and do not run
+  // all remaining tasks. Empty if there are none.
   std::string DescribeUnfinishedJobs() {
     std::string unfinished;
     for (const auto& [job, tasks] : jobs)
       for (const std::string& label : labels) {
         const std::string state = Poll(job, label);
-        if (state.empty()) unfinished += job + " is not answered by " + label + "; ";
+        if (state.empty()) unfinished += job + " is not reported by " + label + "; ";
         if (state == "done" || state == "withdrawn") continue;
         std::size_t ended = 0;
         for (std::uint32_t i = 0; i < tasks; ++i) ended += completed.contains({{job}, i}) ? 1 : 0;
         if (LiveTasks(job) + ended < tasks)
           unfinished += job + " runs " + std::to_string(LiveTasks(job)) + " of " +
-                  std::to_string(tasks - ended) + "; ";
+                        std::to_string(tasks - ended) + "; ";
       }
     return unfinished;
   }
--- a/tests/seed_run.cc
+++ b/tests/seed_run.cc
@@ -1,4 +1,4 @@
-// The workload of a seed, and what must hold at its end.
+// Workload, recovery and final checks of a seed.
 #include "seed_run.h"
 
 #include <utility>
@@ -16,10 +16,10 @@
 
 SeedRun::SeedRun(std::uint64_t seed, BrokenBroadcast broken_broadcast, DecisionDigest* decisions)
     : random_(seed),
-      // Small pages are seldom written for others, so records of unbound tasks stay longer.
+      // Small record pages are rewritten less often, so records of unbound tasks stay longer.
       cluster_(broken_broadcast, 3, 7, random_.Chance(0.5) ? kSmallPageBytes : kDefaultPageBytes),
       labels_(cluster_.labels) {
-  ThreadRandom().seed(seed);  // of pauses
+  ThreadRandom().seed(seed);  // for backoff delays
   cluster_.decisions = decisions;
   cluster_.cancel_deadline = kSweepCancelDeadline;
   if (random_.Chance(0.5)) cluster_.writes_per_s = 5;
@@ -29,7 +29,9 @@
   cluster_.inject_fault = [this](const std::string& label, bool write) {
     return RandomStoreFault(label, write);
   };
-  cluster_.command_latency = [this] { return random_.Chance(0.2) ? random_.Duration(0, 0.8) : Seconds{}; };
+  cluster_.command_latency = [this] {
+    return random_.Chance(0.2) ? random_.Duration(0, 0.8) : Seconds{};
+  };
   cluster_.on_job_state_changed = [this](const std::string& job) {
     if (random_.Chance(0.4)) PollAllControllersConcurrently(job);
   };
@@ -45,7 +47,8 @@
   cluster_.Run({8});
   for (const char* job : {"j-1", "j-2"}) cancel_at_[job] = cluster_.now + random_.Duration(2, 40);
   if (random_.Chance(0.2)) cancel_at_["j-6"] = cluster_.now + random_.Duration(2, 60);
-  InjectAfter({12}, "more work for the team at its limit", [this] { job_sizes_["j-7"] = 2; });
+  InjectAfter({12}, "users submit another job of the team at its limit",
+              [this] { job_sizes_["j-7"] = 2; });
   ScheduleRandomFaults();
   cluster_.Run(kFaultPhase);
   ClearFaults();
@@ -88,7 +91,8 @@
   for (const auto& [job, from] : cancel_at_)
     if (cluster_.now >= from && !cluster_.acknowledged_cancellations.contains(job) &&
         !cluster_.reported_done.contains(job))
-      ScheduleWithinOneSecond([=, this] { cluster_.CancelConcurrently(job, random_.Pick(labels_)); });
+      ScheduleWithinOneSecond(
+          [=, this] { cluster_.CancelConcurrently(job, random_.Pick(labels_)); });
   for (const auto& [job, tasks] : cluster_.jobs)
     if (random_.Chance(0.5))
       ScheduleWithinOneSecond([=, this] { cluster_.PollConcurrently(job, random_.Pick(labels_)); });
@@ -124,7 +128,8 @@
   for (const std::string& label : labels_)
     cluster_.ScheduleAfter(random_.Duration(0, 0.01),
                            [=, this] { cluster_.PollConcurrently(job, label); });
-  if (random_.Chance(0.4)) cluster_.ScheduleAfter(random_.Duration(0, 0.01), [=, this] { Submit(job); });
+  if (random_.Chance(0.4))
+    cluster_.ScheduleAfter(random_.Duration(0, 0.01), [=, this] { Submit(job); });
 }
 
 void SeedRun::EndRandomTasks(Machine& machine) {
@@ -133,7 +138,7 @@
   for (const TaskStatus& status : tasks) {
     if (status.state == TaskState::kEnded) continue;
     const std::string& job = status.task.job.value;
-    const bool small = job.size() > 4;  // of SubmitManySmallJobs
+    const bool small = job.size() > 4;  // submitted by SubmitManySmallJobs
     const bool completes = job == "j-4" || job == "j-7" || (job == "j-5" && random_.Chance(0.5));
     if (completes || small) {
       if (!random_.Chance(small ? 0.3 : 0.04)) continue;
@@ -159,7 +164,7 @@
   const std::string& job = task.job.value;
   for (std::uint32_t i = 0; i < job_sizes_[job]; ++i)
     if (!cluster_.completed.contains({{job}, i})) return;
-  // The job's last task: a query, a repeat or a cancellation at the same moment.
+  // Requests concurrent with the end of the job's last task.
   if (random_.Chance(0.4)) PollAllControllersConcurrently(job);
   if (random_.Chance(0.2))
     cluster_.ScheduleAfter(random_.Duration(0, 0.6),
@@ -196,9 +201,9 @@
       for (int i = 0; i < 20 && !answered; ++i) {
         cluster_.SendUserRequest(
             label, [job](JobApi& api) { return api.Query(job); },
-            [&, known = cluster_.CurrentUserView(job)](const HttpResponse& r) {
-              answered = r.status == 200;
-              cluster_.CheckAnswer(job, known, r);
+            [&, known = cluster_.CurrentUserView(job)](const HttpResponse& response) {
+              answered = response.status == 200;
+              cluster_.CheckAnswer(job, known, response);
             });
         cluster_.Run({0.2});
       }
--- a/tests/seed_run.h
+++ b/tests/seed_run.h
@@ -1,4 +1,4 @@
-// The run of one seed of the fault sweep (fault_sweep.h): users, tasks and faults drawn by seed.
+// Runs one seed of the fault sweep (fault_sweep.h), which determines users, tasks and faults.
 #pragma once
 
 #include <cstdint>
@@ -13,8 +13,8 @@
 
 namespace magpie::testing {
 
-// The run of one seed: the workload, the faults and the checks at the end. Everything drawn comes
-// from `draw_` and from the draws of the cluster.
+// One seed: the workload, the faults and the final checks. All randomness comes from `random_` and
+// from the cluster's own generator, so that a seed is reproducible.
 class SeedRun {
  public:
   SeedRun(std::uint64_t seed, BrokenBroadcast broken_broadcast, DecisionDigest* decisions);
@@ -23,18 +23,18 @@
 
  private:
   using Machine = SimulatedCluster::Machine;
-  // How a machine is cut off from the controllers.
+  // How a machine is disconnected from the controllers.
   enum class Connection { kReceivesNothing, kSendsNothing, kPartitioned };
   static const char* Describe(Connection connection);
 
   std::uint32_t RandomBit();
   void ConfigureJobs();
 
-  // ---- The workload: what users and tasks do each second (seed_run.cc)
+  // ---- Workload: actions of users and tasks each second (seed_run.cc)
   void RunWorkload();
   void ScheduleWithinOneSecond(std::function<void()> action);
   void Submit(const std::string& job);
-  // Queries every controller within milliseconds, and may repeat the submission.
+  // Queries all controllers within milliseconds and may repeat the submission.
   void PollAllControllersConcurrently(const std::string& job);
   void EndRandomTasks(Machine& machine);
   void CompleteTask(Machine& machine, const TaskId& task);
@@ -45,14 +45,15 @@
   void RecordFault(const char* kind);
   void RefuseStoreCalls(Seconds from, Seconds length, const std::string& label);
   void ScheduleOutage(Seconds from, Seconds length);
-  void PartitionControllers(Seconds from, Seconds length, const std::string& a, const std::string& b);
+  void PartitionControllers(Seconds from, Seconds length, const std::string& a,
+                            const std::string& b);
   void RestartController(Seconds from, Seconds downtime, const std::string& label);
   void RestartLeader(Seconds from);
   void RefuseLeaderStoreCalls(Seconds from, Seconds length);
   void PauseController(Seconds from, Seconds length, const std::string& label);
   void DelayCommands(Seconds from, Seconds length, double max_delay);
   void RepeatHeartbeats(Seconds from, Seconds length);
-  // A new leader first receives copies of old heartbeats, in their order or not.
+  // A new leader first receives copies of old heartbeats, possibly out of order.
   void SendStaleHeartbeats();
   Machine& RandomMachine();
   void Disconnect(Seconds from, Seconds length, Machine& machine, Connection connection);
@@ -67,52 +68,54 @@
   void SlowDownStore(Seconds from, Seconds length);
   void LoseWriteResponses(Seconds from, Seconds length);
   void CancelWhileMachinesUnreachable(Seconds from, Seconds length);
-  // The cloud will take the machine, or withdraws its notice.
+  // Sends a preemption notice. The cloud then reclaims the machine or withdraws the notice.
   void SendPreemptionNotice(Seconds from, Machine& machine);
 
   // ---- Combinations of faults (seed_run_combinations.cc)
-  // Draws one combination, and up to five single faults beside it.
+  // Schedules at most one combination and one to five single faults.
   void ScheduleRandomFaults();
   void ScheduleRandomFault();
 
-  // The key-value store refuses the leader alone, then all, while users cancel.
+  // The key-value store refuses only the leader, then all controllers, while users cancel.
   void RefuseLeaderThenStartOutage();
 
-  // Machines lose their lease and get work again by delayed commands; the leader crashes, and the
-  // next one receives copies of their heartbeats of before and after.
+  // Machines lose their leases and receive tasks again by delayed commands. The leader crashes, and
+  // its successor receives copies of heartbeats from before and after.
   void LoseLeasesThenSendStaleHeartbeats();
 
-  // Tasks fail and workers forget them, as a leader that can't write the outcome tells them to; the
-  // next one runs them again, and the one after that receives their former outcome.
+  // Tasks fail, and workers forget them by command of a leader that cannot write the outcome. The
+  // next leader starts them again, and its successor receives the earlier outcome.
   void ForgetOutcomesThenSendStaleHeartbeats();
 
-  // Commands are delayed while leaders change and machines receive nothing.
+  // Commands are delayed while the leader changes and machines receive nothing.
   void DelayCommandsWhileLeadersChange();
 
-  // Tasks fail as soon as they begin, while commands are delayed for a moment.
+  // Tasks fail shortly after their start, while commands are delayed for up to 5 s.
   void FailTasksQuickly();
 
-  // Workers restart, some without their state, while earlier commands are delayed.
+  // Workers restart, some without their state, while commands are delayed.
   void RestartWorkers();
 
-  // The key-value store refuses the leader alone; its workers stay with it, bindings that it could
-  // not yet start are on machines that get a preemption notice, and another leads.
+  // The key-value store refuses only the leader, whose workers keep sending it heartbeats. Machines
+  // with bindings that it has not started yet get a preemption notice, and another controller
+  // leads.
   void DeposeLeaderKeepingWorkers();
 
-  // Tasks move from machine to machine while responses take seconds.
+  // Preemption notices move tasks between machines while heartbeats take seconds.
   void SendPreemptionNoticesDuringSlowHeartbeats();
 
-  // Every controller is refused for longer than the leader's lease; the leader may be served first.
+  // The key-value store refuses all controllers for at least the leader's lease. The leader may be
+  // served again first.
   void RefuseAllControllers();
 
-  // A controller and the machines of its zone are partitioned from all else, and some users cancel
-  // just before; the controller renews the leases, also after it restarted.
+  // A zone's machines and one controller are partitioned from the rest, and users cancel around
+  // that time. The controller renews the workers' leases, also after its own restart.
   void PartitionZone(Seconds from, Seconds length);
 
-  // ---- The end (seed_run.cc)
+  // ---- Recovery and final checks (seed_run.cc)
   void ClearFaults();
 
-  // Every controller must know every job, and answer no less than users already know.
+  // All controllers must report all jobs, with no state older than users have seen.
   void PollAllJobsAtAllControllers();
 
   SeededRandom random_;
@@ -121,9 +124,9 @@
   SeedResult result_;
   std::map<std::string, std::uint32_t> job_sizes_;
   std::map<std::string, Instant> cancel_at_;
-  double task_failure_rate_ = 0.01;  // share of the tasks that may fail, per second
-  double slow_call_rate_ = 0;        // share of the calls
-  double lost_response_rate_ = 0;      // share of the writes
+  double task_failure_rate_ = 0.01;  // probability per task and second
+  double slow_call_rate_ = 0;        // fraction of key-value store calls
+  double lost_response_rate_ = 0;    // fraction of writes
   bool workload_ended_ = false;
 };
 
--- a/tests/seed_run_combinations.cc
+++ b/tests/seed_run_combinations.cc
@@ -1,4 +1,4 @@
-// Combinations of faults that a seed draws.
+// Combinations of faults, selected by the seed.
 #include <algorithm>
 
 #include "seed_run.h"
@@ -58,11 +58,12 @@
         if (random_.Chance(0.7)) PartitionControllers(start, {70}, other, leader);
       }
   if (random_.Chance(0.5))
-    RestartController(start + random_.Duration(1, 7), random_.Duration(0, 4), random_.Pick(labels_));
+    RestartController(start + random_.Duration(1, 7), random_.Duration(0, 4),
+                      random_.Pick(labels_));
 }
 
 void SeedRun::LoseLeasesThenSendStaleHeartbeats() {
-  RecordFault("about a lease");
+  RecordFault("disconnected for about a lease");
   SendStaleHeartbeats();
   const Seconds start = random_.Duration(1, 25);
   const Seconds reconnect = start + random_.Duration(1.02, 1.3).value * kTestLease;
@@ -71,7 +72,7 @@
   for (Machine& machine : cluster_.machines)
     if (random_.Chance(0.6)) {
       Disconnect(start, reconnect - start, machine, connection);
-      // Again, so that it does not hear of the next leader.
+      // Disconnects it again, so that it receives nothing from the next leader.
       if (random_.Chance(0.7))
         Disconnect(end - random_.Duration(0, 0.5), random_.Duration(5, 14), machine,
                    Connection::kReceivesNothing);
@@ -82,7 +83,7 @@
 }
 
 void SeedRun::ForgetOutcomesThenSendStaleHeartbeats() {
-  RecordFault("outcomes forgotten");
+  RecordFault("forgotten outcomes");
   SendStaleHeartbeats();
   task_failure_rate_ = 0.1;
   Seconds start = random_.Duration(1, 10);
@@ -108,11 +109,11 @@
 }
 
 void SeedRun::FailTasksQuickly() {
-  RecordFault("quick failures");
+  RecordFault("rapid task failures");
   const Seconds start = random_.Duration(0, 20);
   task_failure_rate_ = 0.6;
   DelayCommands(start, {30}, 5);
-  InjectAfter(start + Seconds{30}, "tasks fail no more at once",
+  InjectAfter(start + Seconds{30}, "tasks no longer fail shortly after their start",
               [this] { task_failure_rate_ = 0.02; });
   if (random_.Chance(0.5)) RestartLeader(start + random_.Duration(0, 30));
 }
@@ -123,15 +124,16 @@
   task_failure_rate_ = 0.1;
   for (int round = 0; round < 2; ++round)
     for (Machine& machine : cluster_.machines)
-      if (random_.Chance(0.6)) RestartWorker(start + random_.Duration(0, 25), machine, random_.Chance(0.7));
+      if (random_.Chance(0.6))
+        RestartWorker(start + random_.Duration(0, 25), machine, random_.Chance(0.7));
 }
 
 void SeedRun::DeposeLeaderKeepingWorkers() {
-  RecordFault("deposed with its workers");
+  RecordFault("leader deposed with workers");
   const Seconds start = random_.Duration(2, 25);
   task_failure_rate_ = 0.2;
   DelayCommands(start, {8}, 16);
-  InjectAfter(start, "all workers come to the leader", [this] {
+  InjectAfter(start, "most workers send heartbeats to the leader", [this] {
     const auto leader = std::find(labels_.begin(), labels_.end(), cluster_.Leader());
     if (leader == labels_.end()) return;
     for (Machine& machine : cluster_.machines)
@@ -142,7 +144,8 @@
   for (Machine& machine : cluster_.machines) {
     if (random_.Chance(0.4)) SendPreemptionNotice(start + random_.Duration(3, 16), machine);
     if (random_.Chance(0.4))
-      Disconnect(start + random_.Duration(0, 3), random_.Duration(3, 9), machine, Connection::kSendsNothing);
+      Disconnect(start + random_.Duration(0, 3), random_.Duration(3, 9), machine,
+                 Connection::kSendsNothing);
   }
 }
 
@@ -150,7 +153,7 @@
   RecordFault("slow heartbeats");
   const Seconds start = random_.Duration(2, 25);
   task_failure_rate_ = 0.2;
-  InjectAfter(start, "machines are answered slowly", [this] {
+  InjectAfter(start, "heartbeats of most machines become slow", [this] {
     for (Machine& machine : cluster_.machines) machine.slow_heartbeats |= random_.Chance(0.7);
   });
   for (int round = 0; round < 2; ++round)
@@ -159,7 +162,7 @@
 }
 
 void SeedRun::RefuseAllControllers() {
-  RecordFault("all refused");
+  RecordFault("all controllers refused");
   for (int k = 0; k < 3; ++k) {
     const Seconds start = random_.Duration(2, 80);
     for (const std::string& label : labels_) RefuseStoreCalls(start, random_.Duration(4, 9), label);
@@ -167,26 +170,29 @@
 }
 
 void SeedRun::PartitionZone(Seconds from, Seconds length) {
-  RecordFault("zone alone");
+  RecordFault("zone partitioned with controller");
   task_failure_rate_ = 0.1;
   const std::string inside_controller = random_.Pick(labels_);
   const std::string zone = random_.Chance(0.5) ? "a" : "b";
   if (random_.Chance(0.5)) DelayCommands(from + random_.Duration(-3, 0), {6}, 60);
-  InjectAfter(from, "zone " + zone + " is alone with " + inside_controller, [=, this] {
-    for (Machine& machine : cluster_.machines)
-      if (machine.worker.zone() == zone) machine.only_reachable_from = inside_controller;
-    for (const char* job : {"j-3", "j-5", "j-6", "j-8", "j-10"})
-      if (random_.Chance(0.5)) cancel_at_[job] = cluster_.now + random_.Duration(-2, 3);
-  });
-  // Messages to it and from it stop at about the same time.
+  InjectAfter(from, "zone " + zone + " is partitioned with controller " + inside_controller,
+              [=, this] {
+                for (Machine& machine : cluster_.machines)
+                  if (machine.worker.zone() == zone)
+                    machine.only_reachable_from = inside_controller;
+                for (const char* job : {"j-3", "j-5", "j-6", "j-8", "j-10"})
+                  if (random_.Chance(0.5)) cancel_at_[job] = cluster_.now + random_.Duration(-2, 3);
+              });
+  // Messages in both directions stop at about the same time.
   RefuseStoreCalls(from + random_.Duration(0, 2), length, inside_controller);
   for (const std::string& other : labels_)
     if (other != inside_controller) {
       PartitionControllers(from + random_.Duration(0, 4), length, inside_controller, other);
       PartitionControllers(from + random_.Duration(0, 4), length, other, inside_controller);
     }
-  if (random_.Chance(0.5)) RestartController(from + random_.Duration(-1, 6), random_.Duration(0, 1), inside_controller);
-  InjectAfter(from + length, "zone " + zone + " is back", [this] {
+  if (random_.Chance(0.5))
+    RestartController(from + random_.Duration(-1, 6), random_.Duration(0, 1), inside_controller);
+  InjectAfter(from + length, "partition of zone " + zone + " ends", [this] {
     for (Machine& machine : cluster_.machines) machine.only_reachable_from.clear();
   });
 }
@@ -247,7 +253,7 @@
     case 20:
       return SubmitManySmallJobs(start);
     case 21:
-      RecordFault("ten leaders");
+      RecordFault("ten leader changes");
       for (int k = 0; k < 10; ++k) RestartLeader(Seconds{9.0 * k} + random_.Duration(0, 4));
       return;
     case 22:
--- a/tests/seed_run_faults.cc
+++ b/tests/seed_run_faults.cc
@@ -1,4 +1,4 @@
-// Single faults of a seed: what each does, and when it ends.
+// Single faults of a seed.
 #include <algorithm>
 #include <array>
 #include <cstdio>
@@ -18,12 +18,14 @@
   }
   if (write && random_.Chance(lost_response_rate_)) {
     fault.response_lost = true;
-    if (random_.Chance(0.15)) RefuseStoreCalls(random_.Duration(0, 1), random_.Duration(5, 20), label);
+    if (random_.Chance(0.15))
+      RefuseStoreCalls(random_.Duration(0, 1), random_.Duration(5, 20), label);
   }
   return fault;
 }
 
-void SeedRun::InjectAfter(Seconds wait, const std::string& description, std::function<void()> action) {
+void SeedRun::InjectAfter(Seconds wait, const std::string& description,
+                          std::function<void()> action) {
   cluster_.ScheduleAfter(wait, [this, description, action = std::move(action)] {
     std::array<char, 24> timestamp{};
     std::snprintf(timestamp.data(), timestamp.size(), "%7.2f s: ", cluster_.now.value - 100);
@@ -35,37 +37,39 @@
 void SeedRun::RecordFault(const char* kind) { result_.faults.insert(kind); }
 
 void SeedRun::RefuseStoreCalls(Seconds from, Seconds length, const std::string& label) {
-  RecordFault("refused");
-  InjectAfter(from, "the state service refuses " + label, [=, this] {
+  RecordFault("controller refused");
+  InjectAfter(from, "key-value store refuses " + label, [=, this] {
     if (cluster_.controllers.contains(label)) cluster_.controllers.at(label)->store.refused = true;
   });
-  InjectAfter(from + length, "and serves " + label, [=, this] {
+  InjectAfter(from + length, "key-value store no longer refuses " + label, [=, this] {
     if (cluster_.controllers.contains(label)) cluster_.controllers.at(label)->store.refused = false;
   });
 }
 
 void SeedRun::ScheduleOutage(Seconds from, Seconds length) {
   RecordFault("outage");
-  InjectAfter(from, "outage", [this] { cluster_.store.outage = true; });
-  InjectAfter(from + length, "its end", [this] { cluster_.store.outage = false; });
+  InjectAfter(from, "outage starts", [this] { cluster_.store.outage = true; });
+  InjectAfter(from + length, "outage ends", [this] { cluster_.store.outage = false; });
 }
 
-void SeedRun::PartitionControllers(Seconds from, Seconds length, const std::string& a, const std::string& b) {
+void SeedRun::PartitionControllers(Seconds from, Seconds length, const std::string& a,
+                                   const std::string& b) {
   RecordFault("partition");
-  InjectAfter(from, a + " can't reach " + b, [=, this] { cluster_.partitions.insert({a, b}); });
-  InjectAfter(from + length, a + " reaches " + b, [=, this] { cluster_.partitions.erase({a, b}); });
+  InjectAfter(from, a + " cannot reach " + b, [=, this] { cluster_.partitions.insert({a, b}); });
+  InjectAfter(from + length, a + " can reach " + b,
+              [=, this] { cluster_.partitions.erase({a, b}); });
 }
 
 void SeedRun::RestartController(Seconds from, Seconds downtime, const std::string& label) {
   RecordFault("crash");
-  InjectAfter(from, label + " ends", [=, this] { cluster_.StopController(label); });
-  InjectAfter(from + downtime, label + " is back", [=, this] {
+  InjectAfter(from, label + " crashes", [=, this] { cluster_.StopController(label); });
+  InjectAfter(from + downtime, label + " restarts", [=, this] {
     if (!cluster_.controllers.contains(label)) cluster_.StartController(label);
   });
 }
 
 void SeedRun::RestartLeader(Seconds from) {
-  InjectAfter(from, "the leader ends and is back", [this] {
+  InjectAfter(from, "leader crashes and restarts", [this] {
     const std::string leader = cluster_.Leader();
     if (leader.empty()) return;
     cluster_.StopController(leader);
@@ -77,7 +81,7 @@
 }
 
 void SeedRun::RefuseLeaderStoreCalls(Seconds from, Seconds length) {
-  InjectAfter(from, "the leader is refused", [=, this] {
+  InjectAfter(from, "key-value store refuses the leader", [=, this] {
     const std::string leader = cluster_.Leader();
     if (!leader.empty()) RefuseStoreCalls({}, length, leader);
   });
@@ -91,26 +95,25 @@
 
 void SeedRun::DelayCommands(Seconds from, Seconds length, double max_delay) {
   RecordFault("delayed commands");
-  InjectAfter(from, "commands are delayed for up to " + std::to_string(max_delay) + " s",
-              [=, this] {
-                cluster_.delay_command = [=, this]() -> std::optional<Instant> {
-                  if (!random_.Chance(0.7)) return std::nullopt;
-                  return cluster_.now + random_.Duration(1, max_delay);
-                };
-              });
-  InjectAfter(from + length, "and are not",
+  InjectAfter(from, "commands are delayed by up to " + std::to_string(max_delay) + " s", [=, this] {
+    cluster_.delay_command = [=, this]() -> std::optional<Instant> {
+      if (!random_.Chance(0.7)) return std::nullopt;
+      return cluster_.now + random_.Duration(1, max_delay);
+    };
+  });
+  InjectAfter(from + length, "commands are no longer delayed",
               [this] { cluster_.delay_command = [] { return std::nullopt; }; });
 }
 
 void SeedRun::RepeatHeartbeats(Seconds from, Seconds length) {
-  RecordFault("late heartbeats");
-  InjectAfter(from, "heartbeats come again", [this] {
+  RecordFault("duplicate heartbeats");
+  InjectAfter(from, "heartbeats are duplicated", [this] {
     cluster_.repeat_heartbeat = [this]() -> std::optional<std::pair<Instant, std::string>> {
       if (!random_.Chance(0.3)) return std::nullopt;
       return std::pair(cluster_.now + random_.Duration(2, 60), random_.Pick(labels_));
     };
   });
-  InjectAfter(from + length, "and do not",
+  InjectAfter(from + length, "heartbeats are no longer duplicated",
               [this] { cluster_.repeat_heartbeat = [] { return std::nullopt; }; });
 }
 
@@ -122,7 +125,7 @@
       std::vector<int> indices;
       for (int i = random_.Between(1, 3); i > 0; --i)
         indices.push_back(random_.Below(static_cast<int>(machine.sent_heartbeats.size())));
-      // Often an earlier one and the latest: those of two agent epochs, or of two terms.
+      // Often an earlier one and the latest: from different agent epochs or leader epochs.
       if (random_.Chance(0.5))
         indices = {indices.front(), static_cast<int>(machine.sent_heartbeats.size()) - 1};
       std::vector<int> with_ended_tasks;
@@ -130,7 +133,8 @@
         if (machine.sent_heartbeats[i].find("\"ended\"") != std::string::npos)
           with_ended_tasks.push_back(static_cast<int>(i));
       if (!with_ended_tasks.empty() && random_.Chance(0.5))
-        indices = {with_ended_tasks[static_cast<std::size_t>(random_.Below(static_cast<int>(with_ended_tasks.size())))]};
+        indices = {with_ended_tasks[static_cast<std::size_t>(
+            random_.Below(static_cast<int>(with_ended_tasks.size())))]};
       if (random_.Chance(0.8)) std::sort(indices.begin(), indices.end());
       for (const int i : indices)
         for (const std::string& label : labels_)
@@ -162,7 +166,7 @@
      : connection == Connection::kSendsNothing  ? machine.sends_nothing
                                                 : machine.partitioned) = true;
   });
-  InjectAfter(from + length, machine.worker.id().value + " is back", [&machine] {
+  InjectAfter(from + length, machine.worker.id().value + " is reachable again", [&machine] {
     machine.receives_nothing = machine.sends_nothing = machine.partitioned = false;
   });
 }
@@ -173,18 +177,19 @@
 }
 
 void SeedRun::KillMachine(Seconds from, Machine& machine) {
-  RecordFault("dead");
-  InjectAfter(from, machine.worker.id().value + " dies", [this, &machine] {
-    if (machine.removed || &machine == &cluster_.machines.front()) return;  // one stays
+  RecordFault("machine failed");
+  InjectAfter(from, machine.worker.id().value + " fails", [this, &machine] {
+    if (machine.removed || &machine == &cluster_.machines.front()) return;  // keeps one
     machine.removed = true;
     machine.died = cluster_.now;
   });
 }
 
 void SeedRun::RestartWorker(Seconds from, Machine& machine, bool loses_state) {
-  RecordFault("restart");
+  RecordFault("worker restart");
   InjectAfter(from,
-              machine.worker.id().value + (loses_state ? " loses its state" : " loses its tasks"),
+              machine.worker.id().value +
+                  (loses_state ? " restarts without its state" : " restarts without its tasks"),
               [this, &machine, loses_state] {
                 if (machine.removed) return;
                 machine.worker.Restart(loses_state);
@@ -206,15 +211,16 @@
 }
 
 void SeedRun::SendPreemptionNotice(Seconds from, Machine& machine) {
-  RecordFault("notice");
-  InjectAfter(from, machine.worker.id().value + " gets its notice", [this, &machine] {
+  RecordFault("preemption notice");
+  InjectAfter(from, machine.worker.id().value + " gets a preemption notice", [this, &machine] {
     machine.worker.SetPreemptionNotice({25});
     cluster_.OnWorkerChanged(machine);
   });
   if (random_.Chance(0.5))
     KillMachine(from + Seconds{25}, machine);
   else
-    InjectAfter(from + random_.Duration(2, 20), machine.worker.id().value + " may stay",
+    InjectAfter(from + random_.Duration(2, 20),
+                machine.worker.id().value + " keeps running: preemption notice withdrawn",
                 [this, &machine] {
                   machine.worker.ClearPreemptionNotice();
                   cluster_.OnWorkerChanged(machine);
@@ -222,7 +228,7 @@
 }
 
 void SeedRun::RestartAllControllers(Seconds from) {
-  RecordFault("all crash");
+  RecordFault("all controllers crash");
   for (const std::string& label : labels_)
     RestartController(from + random_.Duration(0, 2),
                       random_.Chance(0.3) ? 1.3 * kTestLease : random_.Duration(0, 7), label);
@@ -230,8 +236,10 @@
 
 void SeedRun::SlowHeartbeats(Seconds from, Seconds length, Machine& machine) {
   RecordFault("slow heartbeats");
-  InjectAfter(from, "a machine is answered slowly", [&machine] { machine.slow_heartbeats = true; });
-  InjectAfter(from + length, "and at once", [&machine] { machine.slow_heartbeats = false; });
+  InjectAfter(from, "heartbeats of a machine become slow",
+              [&machine] { machine.slow_heartbeats = true; });
+  InjectAfter(from + length, "heartbeats of the machine are fast again",
+              [&machine] { machine.slow_heartbeats = false; });
 }
 
 void SeedRun::PartitionMachinesOfAZone(Seconds from) {
@@ -243,12 +251,12 @@
 }
 
 void SeedRun::RateLimitStoreCalls(Seconds from, Seconds length) {
-  RecordFault("429s");
-  InjectAfter(from, "a third of the calls are too many", [this] {
+  RecordFault("rate limiting");
+  InjectAfter(from, "key-value store rate limits 30 % of the calls", [this] {
     for (auto& [label, controller] : cluster_.controllers)
       controller->store.rate_limited = [this] { return random_.Chance(0.3); };
   });
-  InjectAfter(from + length, "and none are", [this] {
+  InjectAfter(from + length, "key-value store no longer rate limits calls", [this] {
     for (auto& [label, controller] : cluster_.controllers)
       controller->store.rate_limited = [] { return false; };
   });
@@ -256,19 +264,20 @@
 
 void SeedRun::SlowDownStore(Seconds from, Seconds length) {
   RecordFault("slow store");
-  InjectAfter(from, "the key-value store is slow", [this] { slow_call_rate_ = 0.5; });
-  InjectAfter(from + length, "and is not", [this] { slow_call_rate_ = 0; });
+  InjectAfter(from, "key-value store is slow", [this] { slow_call_rate_ = 0.5; });
+  InjectAfter(from + length, "key-value store is fast again", [this] { slow_call_rate_ = 0; });
 }
 
 void SeedRun::LoseWriteResponses(Seconds from, Seconds length) {
-  RecordFault("answers lost");
-  InjectAfter(from, "answers of writes are lost", [this] { lost_response_rate_ = 0.5; });
-  InjectAfter(from + length, "and are not", [this] { lost_response_rate_ = 0; });
+  RecordFault("write responses lost");
+  InjectAfter(from, "responses to writes are lost", [this] { lost_response_rate_ = 0.5; });
+  InjectAfter(from + length, "responses to writes are no longer lost",
+              [this] { lost_response_rate_ = 0; });
 }
 
 void SeedRun::CancelWhileMachinesUnreachable(Seconds from, Seconds length) {
-  RecordFault("cancelled while machines hang");
-  InjectAfter(from, "users cancel at once, and machines hang", [this, length] {
+  RecordFault("cancelled while machines unreachable");
+  InjectAfter(from, "users cancel jobs and machines become unreachable", [this, length] {
     cancel_at_["j-3"] = cancel_at_["j-6"] = cancel_at_["j-10"] = cluster_.now;
     for (Machine& machine : cluster_.machines)
       if (random_.Chance(0.4)) Disconnect({}, length, machine, Connection::kPartitioned);
--- a/tests/simulated_cluster.cc
+++ b/tests/simulated_cluster.cc
@@ -1,4 +1,4 @@
-// Time, controllers, leases of the key-value store and the invariants of the simulated cluster.
+// Virtual time, controllers, key-value store leases and invariants of the simulated cluster.
 #include "simulated_cluster.h"
 
 namespace magpie::testing {
@@ -17,15 +17,16 @@
 }
 
 void SimulatedCluster::StartController(const std::string& label) {
-  controllers[label] =
-      std::make_unique<SimulatedController>(*this, label, label + "-" + std::to_string(++last_nonce));
+  controllers[label] = std::make_unique<SimulatedController>(
+      *this, label, label + "-" + std::to_string(++last_nonce));
   if (random) controllers[label]->StartLoops();
 }
 
 void SimulatedCluster::StopController(const std::string& label) {
   if (auto it = controllers.find(label); it != controllers.end()) {
     it->second->End();
-    for (const auto& [lease, renewed] : it->second->store.renewed_leases) orphaned_leases[lease] = renewed;
+    for (const auto& [lease, renewed] : it->second->store.renewed_leases)
+      orphaned_leases[lease] = renewed;
     controllers.erase(it);
   }
 }
@@ -47,7 +48,7 @@
 
 void SimulatedCluster::StartRandomizedSchedule(std::uint64_t seed) {
   random.emplace(seed);
-  // With the options as they are by now.
+  // Recreates the controllers so that options changed since construction apply.
   for (const std::string& label : labels) {
     controllers.erase(label);
     StartController(label);
@@ -56,9 +57,9 @@
   ScheduleLeaseExpiry();
 }
 
-void SimulatedCluster::ScheduleAt(Instant due, std::function<void()> action) {
-  // Close to each other, the order is drawn.
-  scheduled_.emplace(std::max(due, now), std::move(action));
+void SimulatedCluster::ScheduleAt(Instant when, std::function<void()> action) {
+  // Times are random, so actions scheduled close together run in random order.
+  scheduled_.emplace(std::max(when, now), std::move(action));
 }
 
 void SimulatedCluster::Run(Seconds length) {
@@ -107,7 +108,7 @@
       ++it;
       continue;
     }
-    if (IsUp(destination)) Heartbeat(destination, body);  // nobody hears the answer
+    if (IsUp(destination)) Heartbeat(destination, body);  // the response is discarded
     it = repeated_heartbeats.erase(it);
   }
   for (Machine& machine : machines) StepWorker(machine);
@@ -128,21 +129,24 @@
       if (status.state == TaskState::kEnded) continue;
       const std::string& job = status.task.job.value;
       if (!live_tasks.insert(status.task).second && violations.insert("ran_twice").second)
-        violation_log += std::to_string(now.value - 100) + " s: " + protocol::TaskIdToText(status.task) +
-                         " runs twice, attempt " + std::to_string(status.attempt.value) + " on " +
-                         machine.worker.id().value + "\n";
+        violation_log += std::to_string(now.value - 100) +
+                         " s: " + protocol::TaskIdToText(status.task) +
+                         " runs on two machines, attempt " + std::to_string(status.attempt.value) +
+                         " on " + machine.worker.id().value + "\n";
       if (!job_overrides.contains(job)) continue;
       const JobSpec& spec = SubmittedSpec(job);
       cpus_by_team[spec.team] += spec.per_task.cpus;
       const std::uint32_t tasks_in_zone = ++tasks_by_zone[job][machine.worker.zone()];
-      if (tasks_in_zone > MaxTasksPerZone(spec) || (spec.single_zone && tasks_by_zone[job].size() > 1) ||
+      if (tasks_in_zone > MaxTasksPerZone(spec) ||
+          (spec.single_zone && tasks_by_zone[job].size() > 1) ||
           (spec.zone && *spec.zone != machine.worker.zone()))
         violations.insert("wrong_place");
     }
   }
   if (cpus_by_team["blue"] > kBlueTeamCpuLimit) violations.insert("quota");
-  for (const auto& [job, renewed] : acknowledged_cancellations)
-    if (now - renewed > cancel_deadline && LiveTasks(job) > 0) violations.insert("ran_cancelled");
+  for (const auto& [job, acknowledged] : acknowledged_cancellations)
+    if (now - acknowledged > cancel_deadline && LiveTasks(job) > 0)
+      violations.insert("ran_cancelled");
 }
 
 void SimulatedCluster::ScheduleLeaseExpiry() {
@@ -153,7 +157,7 @@
 }
 
 void SimulatedCluster::ExpireLeases() {
-  // Once an outage ends, every lease has its full time again.
+  // When an outage ends, every lease restarts with its full duration.
   if (store.outage) {
     for (auto& [label, run] : controllers)
       for (auto& [lease, renewed] : run->store.renewed_leases) renewed = now;
--- a/tests/simulated_cluster.h
+++ b/tests/simulated_cluster.h
@@ -1,13 +1,12 @@
-// Whole controllers around one key-value store, in virtual time, with injected faults: a store
-// that refuses one controller or all or commits transactions late, partitions between controllers
-// in either direction, controllers that crash, restart or pause, workers with leases that receive
-// nothing, send nothing or whose messages are delayed.
+// Simulates complete controllers with one key-value store in virtual time and injects faults:
+// - key-value store: refuses calls of one or all controllers, commits transactions late
+// - controllers: one-way or two-way partitions, crashes, restarts, pauses
+// - workers: receive nothing, send nothing, delayed messages
 //
-// A scenario advances the time by whole seconds, StepOneSecond() and AdvanceSeconds(): all act once
-// a second, in a fixed order. The sweep draws the order: after StartDrawnTime() each loop of each
-// controller, each heartbeat and each user's request happens at its own drawn instant (Run()), and
-// a controller's call can be in the middle of something while others act. The invariants are
-// checked after each event.
+// Scenarios use the fixed order: StepOneSecond() and AdvanceSeconds() let every participant act
+// once a second. The fault sweep uses the randomized schedule: after StartRandomizedSchedule(),
+// Run() executes each controller loop, heartbeat and user request at its own random time, and calls
+// of controllers interleave. The invariants are checked after each step or event.
 #pragma once
 
 #include <algorithm>
@@ -32,47 +31,56 @@
 
 namespace magpie::testing {
 
-// Defects of the cancellation broadcast that a test can choose, to show that the sweep finds them.
+// Defects of the cancellation broadcast, injected to show that the sweep detects them.
 enum class BrokenBroadcast {
   kNone,
-  kNotifiesNoPeer,              // users are answered as soon as the cancellation is durable
-  kNotifiesOnePeer,         // one of the other controllers suffices
+  kNotifiesNoPeer,                // acknowledges to the user once the cancellation is durable
+  kNotifiesOnePeer,               // requires the acknowledgement of one peer only
   kAcknowledgesWithoutRecording,  // a peer acknowledges without recording the cancellation
 };
 
-// Controllers, machines, users and the key-value store, with the faults injected into them and the
-// invariants that must hold all the same. A violated invariant is added to `violations` by name:
-// ran_twice, quota, wrong_place, ran_cancelled, went_back, forgotten, invented, not_done,
-// rental_name_reused and endless (a loop that does not end).
+// Controllers, machines, users and the key-value store. CheckInvariants() and CheckAnswer() add the
+// names of violated invariants to `violations`:
+// - ran_twice: a task runs on two machines at once
+// - quota: a team uses more than its limit
+// - wrong_place: a task violates its job's zone constraints
+// - ran_cancelled: a task still runs after the deadline of an acknowledged cancellation
+// - went_back: a response is older than one that a user already received, or reports a cancellation
+//   that was never requested
+// - forgotten: an accepted job is reported as unknown or rejected as invalid
+// - invented: a job that was never submitted, or must be rejected, is reported or accepted
+// - not_done: a job is reported as done before all its tasks completed
+// - rental_name_reused: a machine name is provisioned twice
+// - endless: a loop does not terminate
 class SimulatedCluster {
  public:
   explicit SimulatedCluster(BrokenBroadcast broken_broadcast = BrokenBroadcast::kNone,
                             int controller_count = 3, int worker_count = 4,
                             std::size_t page_bytes = 15UL * 1024);
 
-  // A machine with its worker, and what is wrong with its network.
+  // A machine with its worker and network faults.
   struct Machine {
     Machine(const std::string& name, const std::string& type, const std::string& zone,
             bool spot = false)
         : worker(name, type, zone, spot) {}
     FakeWorker worker;
-    std::size_t destination = 0;  // the controller that gets its next heartbeat
+    std::size_t destination = 0;  // index of the controller that receives the next heartbeat
     Instant next_heartbeat;
-    Instant lease_renewed;  // when the last answered heartbeat was sent
+    Instant lease_renewed;  // send time of the last accepted heartbeat
     Instant booted_at;
-    bool receives_nothing = false;  // neither responses nor commands
-    bool sends_nothing = false;     // its heartbeats are lost; commands arrive
-    bool partitioned = false;       // both
-    bool removed = false;           // died or was released
-    bool lost_state = false;        // restarted without sequence numbers and token
-    std::optional<Instant> died;    // it stays in the cloud's list
-    bool slow_heartbeats = false;   // they take up to three seconds each way
+    bool receives_nothing = false;  // responses and commands are lost
+    bool sends_nothing = false;     // heartbeats are lost; commands arrive
+    bool partitioned = false;       // nothing is sent or received
+    bool removed = false;           // failed or released
+    bool lost_state = false;        // restarted without its sequence numbers and fencing token
+    std::optional<Instant> died;    // time of failure; the cloud still lists the machine
+    bool slow_heartbeats = false;   // up to three seconds in each direction
     std::optional<std::pair<Instant, std::string>> in_flight_heartbeat;
     int leases_lost = 0;
-    std::deque<std::string> sent_heartbeats;  // the latest ones
-    bool awaiting_response = false;           // drawn time alone
-    std::uint64_t generation = 0;             // of its agent epoch and its run
-    std::string only_reachable_from;          // empty: from all controllers
+    std::deque<std::string> sent_heartbeats;  // the most recent ones
+    bool awaiting_response = false;           // used in the randomized schedule only
+    std::uint64_t generation = 0;     // incremented by each heartbeat, lease expiry and restart
+    std::string only_reachable_from;  // a controller label; empty: all
     bool CanReceive() const { return !removed && !receives_nothing && !partitioned; }
     bool IsReachableFrom(const std::string& controller) const {
       return only_reachable_from.empty() || only_reachable_from == controller;
@@ -80,151 +88,153 @@
   };
 
   // ---- Controllers
-  // A new run of the controller's process, which knows nothing of its former runs.
+  // Starts a new controller process without state of earlier ones.
   void StartController(const std::string& label);
-  // Ends the process at once, also in the middle of a call.
+  // Ends the process immediately, even during a call.
   void StopController(const std::string& label);
   bool IsUp(const std::string& label) const {
     return controllers.contains(label) && !IsPaused(label);
   }
   bool IsPaused(const std::string& label) const;
-  // The label of the controller that leads and has loaded its records; empty: none.
+  // The label of the leader that has loaded its records; empty if there is none.
   std::string Leader() const;
   bool CanReach(const std::string& from, const std::string& to) const;
 
-  // ---- Drawn time
-  // From now on everything happens at instants drawn from `seed`.
+  // ---- Randomized schedule
+  // Switches to the randomized schedule determined by `seed`.
   void StartRandomizedSchedule(std::uint64_t seed);
   void ScheduleAt(Instant when, std::function<void()> action);
   void ScheduleAfter(Seconds wait, std::function<void()> action) {
     ScheduleAt(now + wait, std::move(action));
   }
-  // Runs `act` on a fiber, so that it may wait.
+  // Runs `action` on a fiber so that it can wait.
   void Spawn(std::function<void()> action) { fibers_.AcquireIdle().Run(std::move(action)); }
-  // Carries out what is scheduled within `length`.
+  // Executes the actions scheduled within `length`.
   void Run(Seconds length);
   ~SimulatedCluster();
   SimulatedCluster(const SimulatedCluster&) = delete;
   SimulatedCluster& operator=(const SimulatedCluster&) = delete;
 
   // ---- Users
-  // Changes to the specification of a job, by id: its team, its zone, its constraints.
+  // Functions that change job specifications (team, zone, constraints), by job ID.
   std::map<std::string, std::function<void(JobSpec&)>> job_overrides;
   JobSpec Spec(const std::string& job, std::uint32_t tasks) const;
   bool Submit(const std::string& job, std::uint32_t tasks, const std::string& via);
-  // What users were told of a job by the time of a request: its answer may not be older.
+  // Latest state that users had received before a request; the response must not be older.
   struct UserView {
     bool accepted = false;
     bool cancelled = false;
     bool done = false;
   };
   UserView CurrentUserView(const std::string& job) const;
-  // The state in an answer to a user, checked against the users' view; empty: there is none.
+  // Checks a response against the users' view and returns its job state; empty if it has none.
   std::string CheckAnswer(const std::string& job, const HttpResponse& response);
   std::string CheckAnswer(const std::string& job, const UserView& known,
                           const HttpResponse& response);
   std::string Cancel(const std::string& job, const std::string& via);
   std::string Poll(const std::string& job, const std::string& via);
 
-  // The same in drawn time: others act while the request is in progress.
+  // The same in the randomized schedule, where other actions interleave with the request.
   void SendUserRequest(const std::string& via, const std::function<HttpResponse(JobApi&)>& send,
-               const std::function<void(const HttpResponse&)>& on_response);
+                       const std::function<void(const HttpResponse&)>& on_response);
   void PollConcurrently(const std::string& job, const std::string& via);
   void CancelConcurrently(const std::string& job, const std::string& via);
   void SubmitConcurrently(const std::string& job, std::uint32_t tasks, const std::string& via);
-  // A job that is unknown, malformed or can never run (by `kind`, 0 to 4): it must be refused.
+  // Queries an unknown job (`kind` 0) or submits an invalid one (1 to 4); must be rejected.
   void SubmitInvalidConcurrently(int kind, const std::string& via);
 
   // ---- Decisions of the controllers
-  // Where everything that controllers send is recorded; null: nowhere.
+  // Records the controllers' decisions unless null.
   DecisionDigest* decisions = nullptr;
   static constexpr const char* kUser = "user";
   static constexpr const char* kKeyValueStore = "state";
   static constexpr const char* kCloud = "cloud";
-  // `make_body` is called only if there is a digest.
+  // Calls `make_body` only if decisions are recorded.
   template <typename MakeBody>
   void Record(DecisionKind kind, const std::string& sender, const std::string& receiver,
               MakeBody make_body) {
     if (decisions == nullptr) return;
     decisions->Add({kind, now, sender, receiver, make_body()});
   }
-  // Delivers a heartbeat to a controller; its answer.
+  // Delivers a heartbeat to a controller and returns the response.
   HttpResponse Heartbeat(const std::string& label, const std::string& body);
 
   // ---- Fixed order
-  // Everybody acts once, then the invariants are checked.
+  // Every participant acts once, then the invariants are checked.
   void StepOneSecond();
   void AdvanceSeconds(int seconds);
 
   Machine* Find(const MachineId& id);
-  // A machine has something to report: in drawn time its next heartbeat comes soon.
+  // Called when a task state or notice changed. The randomized schedule advances the heartbeat.
   void OnWorkerChanged(Machine& machine);
-  std::size_t MachineCount() const;  // without those that were removed
-  // A direct command that was delayed. A worker that lost its fencing token takes none until it has
-  // seen one again: nothing fences these, as design.md says ("Quick restarts").
+  std::size_t MachineCount() const;  // machines that are not removed
+  // Delivers a delayed direct command. Drops it if the worker lost its fencing token and has not
+  // received a new one: such commands cannot be fenced (design.md, "Quick restarts").
   void DeliverCommand(const magpie::DirectCommand& direct_command);
   std::size_t LiveTasks(const std::string& job) const;
   int LeasesLost() const;
 
-  // Checks the invariants by the tasks that run on the workers.
+  // Checks the invariants that concern tasks running on workers.
   void CheckInvariants();
 
   BrokenBroadcast broken_broadcast;
-  std::size_t page_bytes;  // that a page of records may take
+  std::size_t page_bytes;  // maximum size of a record page
   FakeStore store;
   Instant now{100};
   WallTime wall{1000};
   std::vector<std::string> labels;
   std::map<std::string, std::unique_ptr<SimulatedController>> controllers;
   std::map<std::string, Instant> paused_until;
-  std::map<std::uint64_t, Instant> orphaned_leases;          // of runs that ended, when renewed
-  std::set<std::pair<std::string, std::string>> partitions;  // from one controller to another
+  std::map<std::uint64_t, Instant> orphaned_leases;  // last renewal of leases of ended processes
+  std::set<std::pair<std::string, std::string>> partitions;  // blocked (sender, receiver) pairs
   std::list<Machine> machines;
-  std::map<std::string, std::uint32_t> jobs;  // accepted ones, and their tasks
+  std::map<std::string, std::uint32_t> jobs;  // accepted jobs with their task counts
   std::set<std::string> requested_cancellations;
   std::set<std::string> reported_done;
   std::map<std::string, Instant> acknowledged_cancellations;
   std::set<TaskId> completed;
   std::set<std::string> violations;
   std::list<std::pair<Instant, magpie::DirectCommand>> delayed_commands;
-  std::deque<Instant> late_writes;  // when transactions that were held back commit
-  // Whether the next direct command is delayed, and until when.
+  std::deque<Instant> late_writes;  // commit times of delayed transactions
+  // The time until which the next direct command is delayed; none: no delay.
   std::function<std::optional<Instant>()> delay_command = [] { return std::nullopt; };
-  // Whether a copy of this heartbeat arrives once more, when and at which controller.
+  // The arrival time and controller of a duplicate of the current heartbeat; none: no duplicate.
   std::function<std::optional<std::pair<Instant, std::string>>()> repeat_heartbeat = [] {
     return std::nullopt;
   };
   std::list<std::tuple<Instant, std::string, std::string>>
-      repeated_heartbeats;  // when, at which controller, body
-  // Which of so many earlier heartbeats of a machine a new leader receives first; none: the
-  // machine's own next one.
+      repeated_heartbeats;  // arrival time, controller, body
+  // Given the number of remembered heartbeats of a machine, returns the index of the one that a new
+  // leader receives first; none: no stale heartbeat.
   std::function<std::optional<std::size_t>(std::size_t)> stale_first_heartbeat = [](std::size_t) {
     return std::nullopt;
   };
-  // ---- Drawn time
-  std::optional<SeededRandom> random;  // none: the fixed order
+  // ---- Randomized schedule
+  std::optional<SeededRandom> random;  // none: fixed order
   std::size_t event_count = 0;
-  std::string violation_log;        // when a task first ran twice, for failure messages
-  std::size_t max_events = 200000;  // of a whole run: more is "endless"
+  std::string violation_log;        // first task that ran on two machines, for failure messages
+  std::size_t max_events = 200000;  // exceeding this violates "endless"
   std::function<InjectedFault(const std::string& label, bool write)> inject_fault;
-  std::function<void(const std::string& job)> on_job_state_changed;  // accepted, cancelled or done
-  std::function<void()> on_leader_loading;  // just before and after it reads the records
-  // How long a direct command, or its answer, takes; less than the timeout.
+  std::function<void(const std::string& job)>
+      on_job_state_changed;                 // accepted, cancelled or done, as seen by users
+  std::function<void()> on_leader_loading;  // called before and after it reads the records
+  // Latency of a direct command or its response; less than the timeout.
   std::function<Seconds()> command_latency = [] { return Seconds{}; };
-  std::map<std::string, std::uint32_t> submitted;  // whether or not it was answered
-  bool grants_provisioning = false;                     // rentals are granted, and up within two seconds
+  std::map<std::string, std::uint32_t>
+      submitted;  // jobs with their task counts, including unanswered submissions
+  bool grants_provisioning = false;  // provisioned machines start within two seconds
   Seconds cancel_deadline = kTestCancelDeadline;
-  double writes_per_s = 1e9;  // of a leader
+  double writes_per_s = 1e9;  // write rate limit of a leader
   int last_nonce = 0;
-  int stale_batches = 0;  // how often a leader's view of its pages was wrong
+  int stale_batches = 0;  // write batches rejected due to stale record pages of the leader
 
-  // A copy of an earlier heartbeat arrives at a controller; its answer is lost.
+  // Delivers a copy of an earlier heartbeat to a controller and discards the response.
   void RepeatHeartbeat(const std::string& body, const std::string& at);
 
-  // Has a worker act in drawn time, again and again.
+  // Schedules the worker's recurring actions in the randomized schedule.
   void ScheduleWorker(Machine& machine);
 
-  // Adds a machine that was rented in drawn time.
+  // Adds a machine provisioned in the randomized schedule.
   MachineId AddProvisionedMachine(const std::string& name, const std::string& zone, bool spot);
 
  private:
@@ -232,7 +242,7 @@
 
   void ScheduleLeaseExpiry();
 
-  // In drawn time: ends the worker's lease or sends its heartbeat, whichever is due.
+  // Expires the worker's lease and sends its heartbeat if due, in the randomized schedule.
   void RunWorker(Machine& machine);
 
   void DeliverHeartbeat(Machine& machine, std::uint64_t generation, Instant sent,
@@ -247,18 +257,18 @@
   bool invariants_stale_ = false;
   std::map<std::string, JobSpec> submitted_specs_;
 
-  // A leader that just began receives earlier heartbeats (stale_first_heartbeat).
+  // Delivers earlier heartbeats to a new leader (stale_first_heartbeat).
   void SendStaleHeartbeats();
 
-  // The run that last led. Not its address: a later run may be allocated there.
+  // Run ID of the last leader. Not its address, since a later process may reuse it.
   std::string last_leader_run_;
 
   void ExpireLeases();
 
-  // The same in the fixed order, once a second.
+  // The counterpart of RunWorker() in the fixed order, once a second.
   void StepWorker(Machine& machine);
 
-  // Keeps a heartbeat for later copies.
+  // Stores a heartbeat for later duplicates and may schedule one.
   void RememberHeartbeat(Machine& machine, const std::string& body);
 
   void SendHeartbeat(Machine& machine, Instant sent, const std::string& body);
--- a/tests/simulated_cluster_users.cc
+++ b/tests/simulated_cluster_users.cc
@@ -1,4 +1,4 @@
-// What users ask of the simulated controllers, and what they may be answered.
+// User requests to the simulated controllers, and the checks of their responses.
 #include "simulated_cluster.h"
 
 namespace magpie::testing {
@@ -13,7 +13,7 @@
 bool SimulatedCluster::Submit(const std::string& job, std::uint32_t tasks, const std::string& via) {
   if (!IsUp(via)) return false;
   submitted.emplace(job, tasks);
-  // No time passes in here, so that a submission could not wait for its turn.
+  // Disables rate limiting: no time passes in this call, so a submission could not back off.
   SimulatedController& run = *controllers.at(via);
   const auto rate_limited = std::exchange(run.store.rate_limited, [] { return false; });
   const HttpResponse response = run.api.Submit(protocol::JobToRecord(Spec(job, tasks)).dump());
@@ -53,8 +53,8 @@
       if (!completed.contains({{job}, i})) violations.insert("not_done");
     reported_done.insert(job);
   }
-  const bool state_changed =
-      CurrentUserView(job).cancelled != before.cancelled || CurrentUserView(job).done != before.done;
+  const bool state_changed = CurrentUserView(job).cancelled != before.cancelled ||
+                             CurrentUserView(job).done != before.done;
   if (state_changed && on_job_state_changed) on_job_state_changed(job);
   return state;
 }
@@ -74,11 +74,12 @@
   return CheckAnswer(job, response);
 }
 
-void SimulatedCluster::SendUserRequest(const std::string& via,
-                               const std::function<HttpResponse(JobApi&)>& send,
-                               const std::function<void(const HttpResponse&)>& on_response) {
+void SimulatedCluster::SendUserRequest(
+    const std::string& via, const std::function<HttpResponse(JobApi&)>& send,
+    const std::function<void(const HttpResponse&)>& on_response) {
   Spawn([this, via, send, on_response] {
-    // One request at a time reads the jobs, as far as a fiber can tell.
+    // One request at a time: JobCache blocks the thread during another read, which would deadlock
+    // the fibers.
     if (!IsUp(via) || controllers.at(via)->is_reading_jobs()) return;
     SimulatedController& run = *controllers.at(via);
     run.serving_request = true;
@@ -95,14 +96,18 @@
 void SimulatedCluster::PollConcurrently(const std::string& job, const std::string& via) {
   SendUserRequest(
       via, [job](JobApi& api) { return api.Query(job); },
-      [this, job, known = CurrentUserView(job)](const HttpResponse& r) { CheckAnswer(job, known, r); });
+      [this, job, known = CurrentUserView(job)](const HttpResponse& response) {
+        CheckAnswer(job, known, response);
+      });
 }
 
 void SimulatedCluster::CancelConcurrently(const std::string& job, const std::string& via) {
   requested_cancellations.insert(job);
   SendUserRequest(
       via, [job](JobApi& api) { return api.Cancel(job); },
-      [this, job, known = CurrentUserView(job)](const HttpResponse& r) { CheckAnswer(job, known, r); });
+      [this, job, known = CurrentUserView(job)](const HttpResponse& response) {
+        CheckAnswer(job, known, response);
+      });
 }
 
 void SimulatedCluster::SubmitConcurrently(const std::string& job, std::uint32_t tasks,
@@ -113,12 +118,13 @@
       [body = protocol::JobToRecord(Spec(job, tasks)).dump()](JobApi& api) {
         return api.Submit(body);
       },
-      [this, job, tasks, known = CurrentUserView(job)](const HttpResponse& r) {
-        if (known.accepted && (r.status == 201 || r.status == 400 || r.status == 422))
-          violations.insert(r.status == 201 ? "went_back" : "forgotten");
-        if (r.status != 200 && r.status != 201) return;
+      [this, job, tasks, known = CurrentUserView(job)](const HttpResponse& response) {
+        if (known.accepted &&
+            (response.status == 201 || response.status == 400 || response.status == 422))
+          violations.insert(response.status == 201 ? "went_back" : "forgotten");
+        if (response.status != 200 && response.status != 201) return;
         const bool state_changed = jobs.emplace(job, tasks).second;
-        if (r.status == 200) CheckAnswer(job, known, r);
+        if (response.status == 200) CheckAnswer(job, known, response);
         if (state_changed && on_job_state_changed) on_job_state_changed(job);
       });
 }
@@ -134,8 +140,8 @@
   const std::string text = body.dump();
   SendUserRequest(
       via, [=](JobApi& api) { return kind == 0 ? api.Query(job) : api.Submit(text); },
-      [this](const HttpResponse& r) {
-        if (r.status == 200 || r.status == 201) violations.insert("invented");
+      [this](const HttpResponse& response) {
+        if (response.status == 200 || response.status == 201) violations.insert("invented");
       });
 }
 
--- a/tests/simulated_cluster_workers.cc
+++ b/tests/simulated_cluster_workers.cc
@@ -1,4 +1,4 @@
-// Machines and workers of the simulated cluster: heartbeats, leases, commands and rentals.
+// Machines and workers of the simulated cluster: heartbeats, leases, commands and provisioning.
 #include "simulated_cluster.h"
 
 namespace magpie::testing {
@@ -22,7 +22,8 @@
 
 void SimulatedCluster::OnWorkerChanged(Machine& machine) {
   invariants_stale_ = true;
-  if (random) machine.next_heartbeat = std::min(machine.next_heartbeat, now + random->Duration(0.1, 0.6));
+  if (random)
+    machine.next_heartbeat = std::min(machine.next_heartbeat, now + random->Duration(0.1, 0.6));
 }
 
 std::size_t SimulatedCluster::MachineCount() const {
@@ -36,9 +37,10 @@
       (machine->lost_state && machine->worker.token() == FencingToken{}))
     return;
   if (!machine->CanReceive()) {
-    // It is delivered once the machine is back, and waits no longer than some minutes.
+    // Retries until the machine is reachable; the sweep ends within minutes.
     if (random)
-      ScheduleAfter(random->Duration(0.1, 1), [this, direct_command] { DeliverCommand(direct_command); });
+      ScheduleAfter(random->Duration(0.1, 1),
+                    [this, direct_command] { DeliverCommand(direct_command); });
     return;
   }
   if (machine->worker.Take(direct_command)) OnWorkerChanged(*machine);
@@ -49,8 +51,8 @@
   std::size_t n = 0;
   for (const Machine& machine : machines)
     if (!machine.removed)
-      for (const TaskStatus& t : machine.worker.tasks())
-        n += t.task.job.value == job && t.state != TaskState::kEnded ? 1 : 0;
+      for (const TaskStatus& status : machine.worker.tasks())
+        n += status.task.job.value == job && status.state != TaskState::kEnded ? 1 : 0;
   return n;
 }
 
@@ -60,7 +62,7 @@
   return n;
 }
 
-int stale_batches = 0;  // how often a leader's books of its pages were wrong
+int stale_batches = 0;  // not used; SimulatedCluster::stale_batches is
 
 void SimulatedCluster::RepeatHeartbeat(const std::string& body, const std::string& at) {
   if (IsUp(at)) Heartbeat(at, body);
@@ -75,7 +77,7 @@
 }
 
 MachineId SimulatedCluster::AddProvisionedMachine(const std::string& name, const std::string& zone,
-                                             bool spot) {
+                                                  bool spot) {
   if (Find({name}) != nullptr) violations.insert("rental_name_reused");
   Machine& machine = machines.emplace_back(name, "small", zone, spot);
   machine.booted_at = now + random->Duration(0.3, 2);
@@ -96,8 +98,8 @@
     invariants_stale_ = true;
   }
   if (machine.awaiting_response || now < machine.next_heartbeat) return;
-  machine.next_heartbeat =
-      now + random->Duration(0.75 * kTestHeartbeatInterval.value, 1.25 * kTestHeartbeatInterval.value);
+  machine.next_heartbeat = now + random->Duration(0.75 * kTestHeartbeatInterval.value,
+                                                  1.25 * kTestHeartbeatInterval.value);
   const std::string body = protocol::HeartbeatToJson(machine.worker.Snapshot()).dump();
   RememberHeartbeat(machine, body);
   machine.awaiting_response = true;
@@ -127,7 +129,7 @@
 
 void SimulatedCluster::OnHeartbeatAnswered(Machine& machine, std::uint64_t generation, Instant sent,
                                            const std::optional<HttpResponse>& response) {
-  // After 4 s it is dropped, as is one to an earlier session's report.
+  // Drops responses after the heartbeat timeout (4 s) and those to an earlier agent epoch.
   if (machine.removed || machine.generation != generation || !machine.awaiting_response) return;
   machine.awaiting_response = false;
   if (!response || machine.receives_nothing)
--- a/tests/simulated_controller.cc
+++ b/tests/simulated_controller.cc
@@ -13,8 +13,9 @@
   return others;
 }
 
-// The peers that must know of a cancellation before the user is answered.
-std::vector<std::string> PeersThatMustAcknowledge(const SimulatedCluster& cluster, const std::string& label) {
+// The peers that must acknowledge a cancellation before the user gets a response.
+std::vector<std::string> PeersThatMustAcknowledge(const SimulatedCluster& cluster,
+                                                  const std::string& label) {
   std::vector<std::string> others = PeersOf(cluster, label);
   if (cluster.broken_broadcast == BrokenBroadcast::kNotifiesOnePeer) others = {others.back()};
   return others;
@@ -61,29 +62,31 @@
              return all || cluster_.broken_broadcast == BrokenBroadcast::kNotifiesNoPeer;
            }}),
       cancellations(api.cache(),
-                    [this](const JobCache::Cancellation& c) {
+                    [this](const JobCache::Cancellation& cancellation) {
                       std::lock_guard lock(mutex);
-                      if (core.leading()) core.OnCancelled(c.job, c.revision);
+                      if (core.leading()) core.OnCancelled(cancellation.job, cancellation.revision);
                     }),
-      broadcaster({PeersThatMustAcknowledge(cluster, label), !CancellationBroadcaster::AllowsEarlyAcknowledgement(
-                                                   kTestLease, cluster.cancel_deadline)},
-                  {[&cluster] { return cluster.now; },
-                   [this](const std::string& to, const JobId& job, Revision revision) {
-                     if (cluster_.broken_broadcast == BrokenBroadcast::kNotifiesNoPeer) return false;
-                     // Others act between two requests.
-                     if (cluster_.random && cluster_.random->Chance(0.2))
-                       Wait(cluster_.random->Duration(0, 0.4));
-                     if (!cluster_.CanReach(label, to) || !cluster_.IsUp(to)) return false;
-                     const std::string text = CancellationRegistry::Announcement({job, revision});
-                     cluster_.Record(DecisionKind::kPeerMessage, label, to, [&] { return text; });
-                     if (cluster_.broken_broadcast != BrokenBroadcast::kAcknowledgesWithoutRecording &&
-                         !cluster_.controllers.at(to)->cancellations.RecordAnnouncement(text))
-                       return false;
-                     return cluster_.CanReach(to, label);
-                   },
-                   [this](const JobId& job, Revision revision) {
-                     return cancellations.Record(JobCache::Cancellation{job, revision});
-                   }}),
+      broadcaster(
+          {PeersThatMustAcknowledge(cluster, label),
+           !CancellationBroadcaster::AllowsEarlyAcknowledgement(kTestLease,
+                                                                cluster.cancel_deadline)},
+          {[&cluster] { return cluster.now; },
+           [this](const std::string& to, const JobId& job, Revision revision) {
+             if (cluster_.broken_broadcast == BrokenBroadcast::kNotifiesNoPeer) return false;
+             // Lets other actions run between two requests.
+             if (cluster_.random && cluster_.random->Chance(0.2))
+               Wait(cluster_.random->Duration(0, 0.4));
+             if (!cluster_.CanReach(label, to) || !cluster_.IsUp(to)) return false;
+             const std::string text = CancellationRegistry::Announcement({job, revision});
+             cluster_.Record(DecisionKind::kPeerMessage, label, to, [&] { return text; });
+             if (cluster_.broken_broadcast != BrokenBroadcast::kAcknowledgesWithoutRecording &&
+                 !cluster_.controllers.at(to)->cancellations.RecordAnnouncement(text))
+               return false;
+             return cluster_.CanReach(to, label);
+           },
+           [this](const JobId& job, Revision revision) {
+             return cancellations.Record(JobCache::Cancellation{job, revision});
+           }}),
       heartbeat_handler(
           {kTestLease, kTestLeaderLease,
            [&] {
@@ -98,16 +101,17 @@
              cluster_.Record(DecisionKind::kPeerMessage, label, to, [&] { return body; });
              if (!cluster_.IsUp(to)) return {false, false, 0, {}, cluster_.IsPaused(to)};
              if (!cluster_.CanReach(label, to)) return {false, false, 0, {}, true};
-             const HttpResponse r = cluster_.controllers.at(to)->heartbeat_handler.Handle(
+             const HttpResponse response = cluster_.controllers.at(to)->heartbeat_handler.Handle(
                  body, HeartbeatRoute::kRelayed);
              if (!cluster_.CanReach(to, label)) return {true, false, 0, {}, true};
-             return {true, true, r.status, r.body};
+             return {true, true, response.status, response.body};
            }}),
       cluster_(cluster),
       writer_(store, {[this] {
-                        // In the fixed order a write can't wait; in drawn time it does, as long as
-                        // we lead.
-                        return (cluster_.random || store.open()) && leadership_ == write_leadership_;
+                        // Writes cannot wait in the fixed order. In the randomized schedule they
+                        // wait while this controller is the leader.
+                        return (cluster_.random || store.open()) &&
+                               leadership_ == write_leadership_;
                       },
                       [this](Seconds) { WaitForRetry(); }}) {
   core.SetTypes(SimulatedMachineTypes());
@@ -120,7 +124,7 @@
   };
 }
 
-// The delay between two attempts, drawn by the cluster: that of the sources is random.
+// Waits between two attempts, for a delay from the cluster's seed; production uses ThreadRandom().
 void SimulatedController::WaitForRetry() {
   if (cluster_.random) Wait(cluster_.random->Duration(0.1, 1));
 }
@@ -129,7 +133,7 @@
   Fiber* fiber = Fiber::Current();
   if (fiber == nullptr) return;
   const auto position = waiting_fibers_.insert(waiting_fibers_.end(), fiber);
-  // A run that ended is resumed at once, and its fiber may have other work by then.
+  // End() resumes the fiber early, and it may run other work when the scheduled resume arrives.
   const auto token = std::make_shared<bool>(true);
   const std::function<void()> resume = [this, fiber, weak = std::weak_ptr<bool>(token)] {
     if (weak.expired()) return;
@@ -154,7 +158,8 @@
 void SimulatedController::Loop(void (SimulatedController::*body)(), double min_gap,
                                double max_gap) {
   cluster_.ScheduleAfter(
-      cluster_.random->Duration(min_gap, max_gap), [=, this, weak = std::weak_ptr<bool>(lifetime_)] {
+      cluster_.random->Duration(min_gap, max_gap),
+      [=, this, weak = std::weak_ptr<bool>(lifetime_)] {
         if (weak.expired()) return;
         const bool idle = body != &SimulatedController::StepElection &&
                           body != &SimulatedController::LoadCancellations && !leadership_;
@@ -205,7 +210,7 @@
   leader_ = view.leader;
   epoch_ = view.epoch;
   if (view.leadership && view.leadership == relinquished_leadership_) {
-    if (cluster_.random) election.Resign();  // as ElectionLoop
+    if (cluster_.random) election.Resign();  // like ElectionLoop
     return;
   }
   if (view.leadership == leadership_) return;
@@ -214,7 +219,7 @@
   if (leadership_) StartCore();
 }
 
-// As TakeoverLoop::Run: a read that failed is repeated from the start.
+// Like TakeoverLoop::Run, restarts a failed read from the beginning.
 bool SimulatedController::LoadRecords() {
   const auto expected = leadership_;
   if (ReadRecords(*expected)) return true;
@@ -234,18 +239,19 @@
     const RangeResult range = store.Range(prefix, "", 100000);
     if (range.status != StoreStatus::kOk || leadership_ != expected) return false;
     if (watched_revision_.value == 0) watched_revision_ = range.revision;
-    for (const StoreEntry& e : range.entries) {
+    for (const StoreEntry& entry : range.entries) {
       if (prefix == records::kJobPrefix) {
-        const auto record = records::JobFromJson(e.value);
-        core.LoadJob(record.spec, record.must_stop(), e.revision);
+        const auto record = records::JobFromJson(entry.value);
+        core.LoadJob(record.spec, record.must_stop(), entry.revision);
       } else {
-        const RecordPageKey key = *records::ParseRecordPageKey(e.key);
-        core.LoadRecordPage(key, records::RecordPageFromJson(key, e.value), e.revision);
+        const RecordPageKey key = *records::ParseRecordPageKey(entry.key);
+        core.LoadRecordPage(key, records::RecordPageFromJson(key, entry.value), entry.revision);
       }
     }
   }
   const Transaction still_leading{records::ConditionsOf(expected), {}};
-  if (store.Commit(still_leading).status != StoreStatus::kOk || leadership_ != expected) return false;
+  if (store.Commit(still_leading).status != StoreStatus::kOk || leadership_ != expected)
+    return false;
   core.FinishLoad(cluster_.now);
   if (cluster_.on_leader_loading) cluster_.on_leader_loading();
   return true;
@@ -256,13 +262,13 @@
   const WatchResult watch = store.Watch(records::kJobPrefix, watched_revision_, {});
   if (watch.status != StoreStatus::kOk || leadership_ != expected) return;
   watched_revision_ = watch.revision;
-  for (const WatchEvent& e : watch.events) {
-    if (!e.value) {
-      core.OnJobRemoved({e.key.substr(2)}, e.revision);
+  for (const WatchEvent& event : watch.events) {
+    if (!event.value) {
+      core.OnJobRemoved({event.key.substr(2)}, event.revision);
       continue;
     }
-    const auto record = records::JobFromJson(*e.value);
-    core.LoadJob(record.spec, record.must_stop(), e.revision);
+    const auto record = records::JobFromJson(*event.value);
+    core.LoadJob(record.spec, record.must_stop(), event.revision);
   }
 }
 
@@ -275,7 +281,7 @@
     const WriteOutcome outcome = writer_.Write(plan, expected);
     if (outcome.stale) ++cluster_.stale_batches;
     if (leadership_ != expected) return;
-    if (outcome.deposed || outcome.stale) {  // as LeaderState::Relinquish
+    if (outcome.deposed || outcome.stale) {  // like LeaderState::Relinquish
       core.Stop();
       relinquished_leadership_ = std::exchange(leadership_, std::nullopt);
       if (outcome.stale && !cluster_.random) election.Resign();
@@ -322,7 +328,7 @@
 }
 
 void SimulatedController::SendDirectCommands() {
-  // More at once, while no time passes, is an endless loop.
+  // More commands while no virtual time passes indicate an endless loop.
   constexpr int kMaxAtOnce = 500;
   core.AllowTaskStarts(cancellations.Loaded());
   for (int i = 0; i < kMaxAtOnce; ++i) {
@@ -343,7 +349,8 @@
 }
 
 void SimulatedController::CallCloud() {
-  // As CloudLoop: a leader that the key-value store does not answer releases nothing.
+  // Like CloudLoop, a leader without contact to the key-value store makes no cloud calls, so it
+  // releases no machine.
   if (cluster_.now - last_store_contact_ >= kTestLeaderLease) return;
   for (int i = 0; i < 8; ++i) {
     const auto call = core.NextCloudCall(cluster_.now);
@@ -374,9 +381,9 @@
     } else if (cluster_.grants_provisioning && cluster_.MachineCount() < kMaxTestMachines) {
       std::vector<MachineId> provisioned;
       for (std::uint32_t k = 0; k < call->scale_out.count; ++k)
-        provisioned.push_back(cluster_.AddProvisionedMachine(call->scale_out.name + "-" + std::to_string(k),
-                                                   call->scale_out.kind.zone,
-                                                   call->scale_out.kind.spot));
+        provisioned.push_back(
+            cluster_.AddProvisionedMachine(call->scale_out.name + "-" + std::to_string(k),
+                                           call->scale_out.kind.zone, call->scale_out.kind.spot));
       core.OnProvisioned(*call, provisioned, cluster_.now);
     } else {
       core.OnProvisioningRefused(*call, cluster_.now);
--- a/tests/simulated_controller.h
+++ b/tests/simulated_controller.h
@@ -1,5 +1,5 @@
-// One run of a controller's process in virtual time: the parts of the real controller, each loop
-// of it a fiber or a step, without threads and sockets.
+// Runs a controller process in virtual time: uses the components of the real controller, but runs
+// its loops as fibers or steps, without threads and sockets.
 #pragma once
 
 #include <list>
@@ -26,31 +26,31 @@
 inline constexpr Seconds kTestHeartbeatInterval{3};
 inline constexpr Seconds kTestLeaderLease{4};
 inline constexpr std::size_t kMaxTestMachines = 9;
-inline constexpr double kBlueTeamCpuLimit = 8;  // CPUs of the team "blue"
+inline constexpr double kBlueTeamCpuLimit = 8;  // limit of team "blue"
 
 class SimulatedCluster;
 
-// One run of a controller's process: what controller/controller.h does, without threads.
+// One controller process. Counterpart of controller/controller.h without threads.
 class SimulatedController {
  public:
   SimulatedController(SimulatedCluster& cluster, std::string label, const std::string& nonce);
 
-  // Thrown out of a call that was in progress as the process ended.
+  // Thrown by waiting calls when the process ends.
   struct ProcessEnded {};
 
-  // All loops once, in a fixed order.
+  // Runs all loops once, in a fixed order.
   void Step();
-  // Starts its loops as fibers, in drawn time.
+  // Starts the loops as fibers in the randomized schedule.
   void StartLoops();
-  // Waits while others act, in drawn time; throws Ended.
+  // Suspends the running fiber in the randomized schedule. Throws ProcessEnded.
   void Wait(Seconds length);
-  // Ends all its calls that wait.
+  // Ends the process and all its waiting calls.
   void End();
   // Whether a request or a loop is reading the jobs.
   bool is_reading_jobs() const { return serving_request || loading_cancellations_; }
 
   std::string label;
-  const std::string run_id;  // of this run of the process: differs from that of every other
+  const std::string run_id;  // unique to this process
   FaultyStore store;
   std::mutex mutex;
   LeaderElection election;
@@ -60,7 +60,7 @@
   CancellationRegistry cancellations;
   CancellationBroadcaster broadcaster;
   HeartbeatHandler heartbeat_handler;
-  bool serving_request = false;  // a user's request: one at a time reads the jobs
+  bool serving_request = false;  // one user request at a time reads the jobs
 
  private:
   void Loop(void (SimulatedController::*body)(), double min_gap, double max_gap);
@@ -85,7 +85,8 @@
   bool loading_cancellations_ = false;
   WriteBatchCommitter writer_;
   std::optional<records::Leadership> leadership_;
-  std::optional<records::Leadership> relinquished_leadership_;  // the latest that was given up
+  std::optional<records::Leadership>
+      relinquished_leadership_;  // most recently relinquished leadership
   std::optional<records::Leadership> write_leadership_;
   std::string leader_;
   Revision epoch_;
@@ -94,7 +95,7 @@
   bool store_unreachable_ = false;
 };
 
-// Settings and machine types of every simulated controller.
+// Settings and machine types of all simulated controllers.
 Scheduler::Options SimulatedSchedulerOptions();
 std::vector<MachineType> SimulatedMachineTypes();
 
--- a/tests/stepped_fault_sweep.cc
+++ b/tests/stepped_fault_sweep.cc
@@ -12,13 +12,13 @@
 constexpr std::size_t kSmallPageBytes = 900;
 constexpr std::size_t kDefaultPageBytes = 15UL * 1024;
 
-// Draws with the distributions of the standard library.
+// Random numbers from the distributions of the standard library.
 class StandardRandom {
  public:
   explicit StandardRandom(std::uint64_t seed) : engine_(seed) {}
   int Below(int n) { return std::uniform_int_distribution<int>(0, n - 1)(engine_); }
   int Between(int a, int b) { return a + Below(b - a + 1); }
-  // Whole seconds, 0.8 to 2 times as long.
+  // A duration of 0.8 to 2 leases, in whole seconds.
   int RandomSecondsNear(Seconds lease) {
     const std::vector<double> times{0.8, 1, 1.1, 1.2, 2};
     return static_cast<int>(times[static_cast<std::size_t>(Below(5))] * lease.value);
@@ -32,12 +32,12 @@
   std::mt19937_64 engine_;
 };
 
-// One seed's run: first all faults are drawn and planned by second, then the seconds pass.
+// Runs one seed: schedules all faults first, then advances second by second.
 class SteppedSeedRun {
  public:
   SteppedSeedRun(std::uint64_t seed, BrokenBroadcast broken_broadcast, DecisionDigest* decisions)
       : random_(seed),
-        // Small pages are seldom written for others, so records of unbound tasks stay longer.
+        // Small record pages are rewritten less often, so records of unbound tasks stay longer.
         cluster_(broken_broadcast, 3, 5, random_.Chance(0.5) ? kSmallPageBytes : kDefaultPageBytes),
         labels_(cluster_.labels) {
     cluster_.decisions = decisions;
@@ -84,23 +84,24 @@
     cluster_.AdvanceSeconds(8);
   }
 
-  // ---- Faults, each planned for a second
+  // ---- Faults, each scheduled for a given second
   void ScheduleAt(int second, std::string description, std::function<void()> action) {
-    schedule_.emplace(second, [this, description = std::move(description), action = std::move(action)] {
-      result_.fault_log +=
-          std::to_string(static_cast<int>(cluster_.now.value) - 100) + " s: " + description + "\n";
-      action();
-    });
+    schedule_.emplace(
+        second, [this, description = std::move(description), action = std::move(action)] {
+          result_.fault_log += std::to_string(static_cast<int>(cluster_.now.value) - 100) +
+                               " s: " + description + "\n";
+          action();
+        });
   }
   void RecordFault(const char* kind) { result_.faults.insert(kind); }
 
   void RefuseStoreCalls(int from, int length, const std::string& label) {
-    RecordFault("refused");
-    ScheduleAt(from, "the state service refuses " + label, [this, label] {
+    RecordFault("controller refused");
+    ScheduleAt(from, "key-value store refuses " + label, [this, label] {
       if (cluster_.controllers.contains(label))
         cluster_.controllers.at(label)->store.refused = true;
     });
-    ScheduleAt(from + length, "and serves " + label, [this, label] {
+    ScheduleAt(from + length, "key-value store no longer refuses " + label, [this, label] {
       if (cluster_.controllers.contains(label))
         cluster_.controllers.at(label)->store.refused = false;
     });
@@ -108,26 +109,28 @@
 
   void ScheduleOutage(int from, int length) {
     RecordFault("outage");
-    ScheduleAt(from, "outage", [this] { cluster_.store.outage = true; });
-    ScheduleAt(from + length, "its end", [this] { cluster_.store.outage = false; });
+    ScheduleAt(from, "outage starts", [this] { cluster_.store.outage = true; });
+    ScheduleAt(from + length, "outage ends", [this] { cluster_.store.outage = false; });
   }
 
   void PartitionControllers(int from, int length, const std::string& a, const std::string& b) {
     RecordFault("partition");
-    ScheduleAt(from, a + " can't reach " + b, [this, a, b] { cluster_.partitions.insert({a, b}); });
-    ScheduleAt(from + length, a + " reaches " + b, [this, a, b] { cluster_.partitions.erase({a, b}); });
+    ScheduleAt(from, a + " cannot reach " + b,
+               [this, a, b] { cluster_.partitions.insert({a, b}); });
+    ScheduleAt(from + length, a + " can reach " + b,
+               [this, a, b] { cluster_.partitions.erase({a, b}); });
   }
 
   void RestartController(int from, int downtime, const std::string& label) {
     RecordFault("crash");
-    ScheduleAt(from, label + " ends", [this, label] { cluster_.StopController(label); });
-    ScheduleAt(from + downtime, label + " is back", [this, label] {
+    ScheduleAt(from, label + " crashes", [this, label] { cluster_.StopController(label); });
+    ScheduleAt(from + downtime, label + " restarts", [this, label] {
       if (!cluster_.controllers.contains(label)) cluster_.StartController(label);
     });
   }
 
   void RestartLeader(int from) {
-    ScheduleAt(from, "the leader ends and is back", [this] {
+    ScheduleAt(from, "leader crashes and restarts", [this] {
       const std::string leader = cluster_.Leader();
       if (leader.empty()) return;
       cluster_.StopController(leader);
@@ -143,9 +146,9 @@
   }
 
   void KillMachine(int from, Machine& machine) {
-    RecordFault("dead");
-    if (&machine == &cluster_.machines.front()) return;  // one stays
-    ScheduleAt(from, "a machine dies", [this, &machine] {
+    RecordFault("machine failed");
+    if (&machine == &cluster_.machines.front()) return;  // keeps one
+    ScheduleAt(from, "a machine fails", [this, &machine] {
       if (machine.removed) return;
       machine.removed = true;
       machine.died = cluster_.now;
@@ -160,7 +163,7 @@
       for (Machine& machine : cluster_.machines)
         machine.partitioned |= machine.worker.zone() == zone;
     });
-    ScheduleAt(from + length, "and are not", [this, zone] {
+    ScheduleAt(from + length, "the machines of the zone are reachable again", [this, zone] {
       for (Machine& machine : cluster_.machines)
         if (machine.worker.zone() == zone) machine.partitioned = false;
     });
@@ -170,34 +173,35 @@
     RecordFault("sends nothing");
     const int length = random_.RandomSecondsNear(kTestLease);
     ScheduleAt(from, "a machine sends nothing", [&machine] { machine.sends_nothing = true; });
-    ScheduleAt(from + length, "and sends again", [&machine] { machine.sends_nothing = false; });
+    ScheduleAt(from + length, "the machine sends again",
+               [&machine] { machine.sends_nothing = false; });
   }
 
   void RateLimitStoreCalls(int from, int length) {
-    RecordFault("429s");
-    ScheduleAt(from, "a third of the calls are too many", [this] {
+    RecordFault("rate limiting");
+    ScheduleAt(from, "key-value store rate limits 30 % of the calls", [this] {
       for (auto& [label, controller] : cluster_.controllers)
         controller->store.rate_limited = [this] { return random_.Chance(0.3); };
     });
-    ScheduleAt(from + length, "and none are", [this] {
+    ScheduleAt(from + length, "key-value store no longer rate limits calls", [this] {
       for (auto& [label, controller] : cluster_.controllers)
         controller->store.rate_limited = [] { return false; };
     });
   }
 
-  // Machines are disconnected for about a lease, and the leader changes as they are back.
+  // Disconnects machines for about a lease and restarts the leader around their reconnection.
   void DisconnectMachinesNearLeaseDuration(int from) {
-    RecordFault("about a lease");
+    RecordFault("disconnected for about a lease");
     const int length = random_.RandomSecondsNear(kTestLease);
     const int kind = random_.Below(3);
     for (Machine& machine : cluster_.machines)
       if (random_.Chance(0.6)) {
-        ScheduleAt(from, machine.worker.id().value + " is out of reach", [&machine, kind] {
+        ScheduleAt(from, machine.worker.id().value + " is disconnected", [&machine, kind] {
           (kind == 0   ? machine.receives_nothing
            : kind == 1 ? machine.sends_nothing
                        : machine.partitioned) = true;
         });
-        ScheduleAt(from + length, "and back", [&machine] {
+        ScheduleAt(from + length, "the machine is reachable again", [&machine] {
           machine.receives_nothing = machine.sends_nothing = machine.partitioned = false;
         });
       }
@@ -205,19 +209,20 @@
   }
 
   void RepeatHeartbeats(int from, int length) {
-    RecordFault("late heartbeats");
+    RecordFault("duplicate heartbeats");
     cluster_.stale_first_heartbeat = [this](std::size_t sent) -> std::optional<std::size_t> {
       if (sent == 0 || !random_.Chance(0.5)) return std::nullopt;
       return static_cast<std::size_t>(random_.Below(static_cast<int>(sent)));
     };
-    ScheduleAt(from, "heartbeats come again", [this] {
+    ScheduleAt(from, "heartbeats are duplicated", [this] {
       cluster_.repeat_heartbeat = [this]() -> std::optional<std::pair<Instant, std::string>> {
         if (!random_.Chance(0.3)) return std::nullopt;
-        return std::pair(cluster_.now + Seconds{1.0 * random_.Between(2, 60)}, random_.Pick(labels_));
+        return std::pair(cluster_.now + Seconds{1.0 * random_.Between(2, 60)},
+                         random_.Pick(labels_));
       };
     });
-    ScheduleAt(from + length, "and do not",
-           [this] { cluster_.repeat_heartbeat = [] { return std::nullopt; }; });
+    ScheduleAt(from + length, "heartbeats are no longer duplicated",
+               [this] { cluster_.repeat_heartbeat = [] { return std::nullopt; }; });
   }
 
   void DelayCommands(int from, int length) {
@@ -228,11 +233,11 @@
         return std::optional(cluster_.now + Seconds{1.0 * delay});
       };
     });
-    ScheduleAt(from + length, "and are not",
-           [this] { cluster_.delay_command = [] { return std::nullopt; }; });
+    ScheduleAt(from + length, "commands are no longer delayed",
+               [this] { cluster_.delay_command = [] { return std::nullopt; }; });
   }
 
-  // The leader alone is refused, then there is an outage, while users cancel.
+  // The key-value store refuses only the leader, then all controllers, while users cancel.
   void ScheduleRefusalThenOutage(const std::string& leader) {
     const int from = random_.Between(2, 10);
     RefuseStoreCalls(from, random_.Between(20, 80), leader);
@@ -266,7 +271,7 @@
       case 3:
         return RestartController(from, random_.Below(8), a);
       case 4:
-        RecordFault("all crash");
+        RecordFault("all controllers crash");
         for (const std::string& label : labels_)
           RestartController(from + random_.Below(2), random_.Below(7), label);
         return;
@@ -274,15 +279,16 @@
         return PauseController(from, length, a);
       case 6:
         RecordFault("receives nothing");
-        ScheduleAt(from, "a machine receives nothing", [&machine] { machine.receives_nothing = true; });
-        return ScheduleAt(from + length, "and receives again",
-                      [&machine] { machine.receives_nothing = false; });
+        ScheduleAt(from, "a machine receives nothing",
+                   [&machine] { machine.receives_nothing = true; });
+        return ScheduleAt(from + length, "the machine receives again",
+                          [&machine] { machine.receives_nothing = false; });
       case 7:
         RecordFault("slow heartbeats");
-        ScheduleAt(from, "a machine is answered slowly",
-               [&machine] { machine.slow_heartbeats = true; });
-        return ScheduleAt(from + length, "and at once",
-                      [&machine] { machine.slow_heartbeats = false; });
+        ScheduleAt(from, "heartbeats of a machine become slow",
+                   [&machine] { machine.slow_heartbeats = true; });
+        return ScheduleAt(from + length, "heartbeats of the machine are fast again",
+                          [&machine] { machine.slow_heartbeats = false; });
       case 8:
         return RepeatHeartbeats(from, length);
       case 9:
@@ -304,7 +310,7 @@
     }
   }
 
-  // ---- What users and tasks do each second
+  // ---- Actions of users and tasks each second
   void RunSecond(int second) {
     for (auto [it, last] = schedule_.equal_range(second); it != last; ++it) it->second();
     if (!cluster_.store.outage && random_.Chance(0.08)) DelayNextWrite(second);
@@ -312,7 +318,7 @@
     for (const auto& [job, tasks] : cluster_.jobs) cluster_.Poll(job, random_.Pick(labels_));
     CompleteRandomTasks();
     FailRandomTasks();
-    // More work for the team at its limit.
+    // Another job of the team at its limit.
     if (second == 12) cluster_.Submit("j-7", 2, random_.Pick(labels_));
     if (random_.Chance(0.05)) cluster_.Submit("j-3", cluster_.jobs["j-3"], random_.Pick(labels_));
     cluster_.StepOneSecond();
@@ -323,7 +329,8 @@
         random_.Chance(0.6) ? FakeStore::Fault::kCommitLate : FakeStore::Fault::kLoseResponse;
     cluster_.late_writes.push_back(cluster_.now + Seconds{1.0 * random_.Between(2, 12)});
     RecordFault("late writes");
-    result_.fault_log += std::to_string(second) + " s: a write is late\n";
+    result_.fault_log +=
+        std::to_string(second) + " s: the next write commits late or loses its response\n";
   }
 
   void CancelDueJobs(int second) {
@@ -331,12 +338,12 @@
       if (second < from || cluster_.acknowledged_cancellations.contains(job)) continue;
       const std::string& via = random_.Pick(labels_);
       if (cluster_.Cancel(job, via) == "withdrawn")
-        result_.fault_log += std::to_string(second) + " s: the cancellation of " + job +
+        result_.fault_log += std::to_string(second) + " s: cancellation of " + job +
                              " acknowledged by " + via + "\n";
     }
   }
 
-  // One by one, far apart.
+  // Tasks of j-4 complete at different times.
   void CompleteRandomTasks() {
     for (Machine& machine : cluster_.machines)
       for (std::uint32_t i = 0; i < 3; ++i) {
@@ -348,7 +355,7 @@
       }
   }
 
-  // Some fail, and are run again.
+  // Tasks that fail are started again.
   void FailRandomTasks() {
     for (Machine& machine : cluster_.machines)
       for (const char* job : {"j-3", "j-5", "j-6"})
@@ -358,7 +365,7 @@
                                random_.Chance(0.5) ? ExitReason::kError : ExitReason::kStopped);
   }
 
-  // ---- The end: late writes land, and everybody is answered
+  // ---- Recovery and final checks
   void ClearFaults() {
     cluster_.store.outage = false;
     cluster_.partitions.clear();
--- a/tests/stepped_fault_sweep.h
+++ b/tests/stepped_fault_sweep.h
@@ -1,5 +1,5 @@
-// The stepped sweep: all controllers act once a second in a fixed order, and combinations of faults
-// are drawn by seed. fault_sweep.h has the one that draws the order as well.
+// Stepped fault sweep: the seed determines the injected faults, and all controllers act once a
+// second in a fixed order. In fault_sweep.h the seed also determines the order.
 #pragma once
 
 #include <cstdint>
@@ -8,8 +8,8 @@
 
 namespace magpie::testing {
 
-// Runs one seed: a minute and a half of faults, then a quiet time after which all must be well.
-// What controllers send is recorded in `decisions`, if there is one.
+// Runs one seed: a phase with faults, then a recovery phase, after which all controllers must
+// report all accepted jobs. Records the controllers' decisions in `decisions` unless it is null.
 SeedResult RunSteppedSeed(std::uint64_t seed, BrokenBroadcast broken_broadcast,
                           DecisionDigest* decisions = nullptr);
 
--- a/tests/stepped_fault_sweep_test.cc
+++ b/tests/stepped_fault_sweep_test.cc
@@ -1,7 +1,7 @@
-// The stepped sweep: combinations of faults drawn by seed, with all controllers acting once a
-// second in a fixed order. The invariants are checked after each second.
+// Stepped fault sweep: the seed determines the faults, and all controllers act once a second in a
+// fixed order. The invariants are checked after each second.
 //
-// MAGPIE_SEEDS=FROM..TO runs other seeds than the fixed ones.
+// MAGPIE_SEEDS=FROM..TO replaces the default seeds.
 #include "stepped_fault_sweep.h"
 
 #include <gtest/gtest.h>
@@ -32,17 +32,18 @@
     for (const std::string& a : result.faults)
       for (const std::string& b : result.faults) pairs[{a, b}] += a <= b ? 1 : 0;
   }
-  // By hand: how many seeds had both.
+  // Manual runs print in how many seeds each pair of faults occurred.
   if (std::getenv("MAGPIE_SEEDS") != nullptr)
     for (const auto& [pair, seeds] : pairs)
       if (seeds > 0)
         std::cout << "pair " << pair.first << " | " << pair.second << " | " << seeds << "\n";
 }
 
-// The sweep can fail: with the cancellation broadcast broken on purpose it finds a seed.
+// Each injected defect of the cancellation broadcast must violate an invariant in some seed.
 TEST(SteppedFaultSweepTest, BrokenCancellationBroadcastIsDetected) {
-  for (const BrokenBroadcast defect : {BrokenBroadcast::kNotifiesNoPeer, BrokenBroadcast::kNotifiesOnePeer,
-                                    BrokenBroadcast::kAcknowledgesWithoutRecording}) {
+  for (const BrokenBroadcast defect :
+       {BrokenBroadcast::kNotifiesNoPeer, BrokenBroadcast::kNotifiesOnePeer,
+        BrokenBroadcast::kAcknowledgesWithoutRecording}) {
     bool found = false;
     for (std::uint64_t seed = 1; seed <= 300 && !found; ++seed)
       found = RunSteppedSeed(seed, defect).violations.contains("ran_cancelled");
