--- a/tests/fault_sweep_test.cc
+++ b/tests/fault_sweep_test.cc
@@ -48,11 +48,11 @@
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     DecisionDigest decisions_once;
     DecisionDigest decisions_again;
-    const SeedResult first_run = RunSeed(seed, BrokenBroadcast::kNone, &decisions_once);
-    const SeedResult second_run = RunSeed(seed, BrokenBroadcast::kNone, &decisions_again);
-    EXPECT_EQ(first_run.fault_log, second_run.fault_log);
-    EXPECT_EQ(first_run.event_count, second_run.event_count);
-    EXPECT_EQ(first_run.violations, second_run.violations);
+    const SeedResult once = RunSeed(seed, BrokenBroadcast::kNone, &decisions_once);
+    const SeedResult again = RunSeed(seed, BrokenBroadcast::kNone, &decisions_again);
+    EXPECT_EQ(once.fault_log, again.fault_log);
+    EXPECT_EQ(once.event_count, again.event_count);
+    EXPECT_EQ(once.violations, again.violations);
     EXPECT_EQ(decisions_once.value(), decisions_again.value());
   }
 }
--- a/tests/random_draw.h
+++ b/tests/random_draw.h
@@ -10,7 +10,7 @@
 
 namespace magpie::testing {
 
-// Does not use the standard distributions, whose results differ between libraries.
+// Implemented without the standard distributions, whose results differ between libraries.
 class SeededRandom {
  public:
   explicit SeededRandom(std::uint64_t seed) : state_(seed) {}
--- a/tests/seed_run.h
+++ b/tests/seed_run.h
@@ -63,7 +63,7 @@
   void SubmitManySmallJobs(Seconds from);
   void RestartAllControllers(Seconds from);
   void SlowHeartbeats(Seconds from, Seconds length, Machine& machine);
-  void PartitionMachinesOfAZone(Seconds from);
+  void PartitionZoneMachines(Seconds from);
   void RateLimitStoreCalls(Seconds from, Seconds length);
   void SlowDownStore(Seconds from, Seconds length);
   void LoseWriteResponses(Seconds from, Seconds length);
--- a/tests/seed_run_combinations.cc
+++ b/tests/seed_run_combinations.cc
@@ -234,7 +234,7 @@
     case 11:
       return KillMachine(start, machine);
     case 12:
-      return PartitionMachinesOfAZone(start);
+      return PartitionZoneMachines(start);
     case 13:
       RecordFault("sends nothing");
       return Disconnect(start, RandomDurationNearLease(), machine, Connection::kSendsNothing);
--- a/tests/seed_run_faults.cc
+++ b/tests/seed_run_faults.cc
@@ -242,7 +242,7 @@
               [&machine] { machine.slow_heartbeats = false; });
 }
 
-void SeedRun::PartitionMachinesOfAZone(Seconds from) {
+void SeedRun::PartitionZoneMachines(Seconds from) {
   RecordFault("zone partition");
   const std::string zone = random_.Chance(0.5) ? "a" : "b";
   const Seconds length = RandomDurationNearLease();
--- a/tests/simulated_cluster.cc
+++ b/tests/simulated_cluster.cc
@@ -73,7 +73,7 @@
     wall.value += (next.key() - now).value;
     now = next.key();
     next.mapped()();
-    if (std::exchange(invariants_stale_, false)) CheckInvariants();
+    if (std::exchange(invariant_check_pending_, false)) CheckInvariants();
   }
   wall.value += (until - now).value;
   now = until;
@@ -131,7 +131,7 @@
       if (!live_tasks.insert(status.task).second && violations.insert("ran_twice").second)
         violation_log += std::to_string(now.value - 100) +
                          " s: " + protocol::TaskIdToText(status.task) +
-                         " runs on two machines, attempt " + std::to_string(status.attempt.value) +
+                         " runs twice at once, attempt " + std::to_string(status.attempt.value) +
                          " on " + machine.worker.id().value + "\n";
       if (!job_overrides.contains(job)) continue;
       const JobSpec& spec = SubmittedSpec(job);
--- a/tests/simulated_cluster.h
+++ b/tests/simulated_cluster.h
@@ -41,7 +41,7 @@
 
 // Controllers, machines, users and the key-value store. CheckInvariants() and CheckAnswer() add the
 // names of violated invariants to `violations`:
-// - ran_twice: a task runs on two machines at once
+// - ran_twice: a task runs twice at the same time
 // - quota: a team uses more than its limit
 // - wrong_place: a task violates its job's zone constraints
 // - ran_cancelled: a task still runs after the deadline of an acknowledged cancellation
@@ -77,9 +77,9 @@
     bool slow_heartbeats = false;   // up to three seconds in each direction
     std::optional<std::pair<Instant, std::string>> in_flight_heartbeat;
     int leases_lost = 0;
-    std::deque<std::string> sent_heartbeats;  // the most recent ones
+    std::deque<std::string> sent_heartbeats;  // most recent ones, oldest first
     bool awaiting_response = false;           // used in the randomized schedule only
-    std::uint64_t generation = 0;     // incremented by each heartbeat, lease expiry and restart
+    std::uint64_t generation = 0;     // increases with each heartbeat, lease expiry and restart
     std::string only_reachable_from;  // a controller label; empty: all
     bool CanReceive() const { return !removed && !receives_nothing && !partitioned; }
     bool IsReachableFrom(const std::string& controller) const {
@@ -134,7 +134,7 @@
   std::string Cancel(const std::string& job, const std::string& via);
   std::string Poll(const std::string& job, const std::string& via);
 
-  // The same in the randomized schedule, where other actions interleave with the request.
+  // Requests in the randomized schedule, where other actions run while a request is in progress.
   void SendUserRequest(const std::string& via, const std::function<HttpResponse(JobApi&)>& send,
                        const std::function<void(const HttpResponse&)>& on_response);
   void PollConcurrently(const std::string& job, const std::string& via);
@@ -212,7 +212,7 @@
   // ---- Randomized schedule
   std::optional<SeededRandom> random;  // none: fixed order
   std::size_t event_count = 0;
-  std::string violation_log;        // first task that ran on two machines, for failure messages
+  std::string violation_log;        // first task that ran twice at once, for failure messages
   std::size_t max_events = 200000;  // exceeding this violates "endless"
   std::function<InjectedFault(const std::string& label, bool write)> inject_fault;
   std::function<void(const std::string& job)>
@@ -254,7 +254,7 @@
   static constexpr Seconds kHeartbeatTimeout{4};
   std::multimap<Instant, std::function<void()>> scheduled_;
   FiberPool fibers_;
-  bool invariants_stale_ = false;
+  bool invariant_check_pending_ = false;
   std::map<std::string, JobSpec> submitted_specs_;
 
   // Delivers earlier heartbeats to a new leader (stale_first_heartbeat).
--- a/tests/simulated_cluster_users.cc
+++ b/tests/simulated_cluster_users.cc
@@ -45,7 +45,7 @@
   if (state == "withdrawn") {
     if (!requested_cancellations.contains(job)) violations.insert("went_back");
     if (acknowledged_cancellations.try_emplace(job, now).second && random)
-      ScheduleAfter(cancel_deadline + Seconds{0.01}, [this] { invariants_stale_ = true; });
+      ScheduleAfter(cancel_deadline + Seconds{0.01}, [this] { invariant_check_pending_ = true; });
   }
   if (state == "done") {
     const auto tasks = jobs.contains(job) ? jobs[job] : submitted[job];
--- a/tests/simulated_cluster_workers.cc
+++ b/tests/simulated_cluster_workers.cc
@@ -21,7 +21,7 @@
 }
 
 void SimulatedCluster::OnWorkerChanged(Machine& machine) {
-  invariants_stale_ = true;
+  invariant_check_pending_ = true;
   if (random)
     machine.next_heartbeat = std::min(machine.next_heartbeat, now + random->Duration(0.1, 0.6));
 }
@@ -95,7 +95,7 @@
     ++machine.generation;
     machine.lease_renewed = now;
     machine.awaiting_response = false;
-    invariants_stale_ = true;
+    invariant_check_pending_ = true;
   }
   if (machine.awaiting_response || now < machine.next_heartbeat) return;
   machine.next_heartbeat = now + random->Duration(0.75 * kTestHeartbeatInterval.value,
--- a/tests/stepped_fault_sweep.cc
+++ b/tests/stepped_fault_sweep.cc
@@ -155,7 +155,7 @@
     });
   }
 
-  void PartitionMachinesOfAZone(int from) {
+  void PartitionZoneMachines(int from) {
     RecordFault("zone partition");
     const std::string zone = random_.Chance(0.5) ? "a" : "b";
     const int length = random_.RandomSecondsNear(kTestLease);
@@ -298,7 +298,7 @@
       case 11:
         return KillMachine(from, machine);
       case 12:
-        return PartitionMachinesOfAZone(from);
+        return PartitionZoneMachines(from);
       case 13:
         return StopHeartbeats(from, machine);
       case 14:
