--- a/tests/fault_sweep_test.cc
+++ b/tests/fault_sweep_test.cc
@@ -1,4 +1,4 @@
-// Runs the fault sweep over 400 fixed seeds, in shards that ctest runs in parallel.
+// Runs the fault sweep over fixed seeds, in shards that ctest runs in parallel.
 // MAGPIE_SEEDS=FROM..TO replaces the seeds for manual runs (run shard 0 only).
 #include "fault_sweep.h"
 
--- a/tests/leader_fault_scenarios.cc
+++ b/tests/leader_fault_scenarios.cc
@@ -93,7 +93,8 @@
   }
 }
 
-// No controller runs for longer than a lease. Workers must kill all tasks, which then start again.
+// All controllers are down for longer than a lease. Workers must kill all tasks, which then start
+// again.
 void AllControllersDownBeyondLease(ScenarioCluster& cluster) {
   ASSERT_EQ(cluster.Cancel("j-2", "n0"), "withdrawn");
   for (const std::string& label : cluster.labels) cluster.StopController(label);
--- a/tests/seed_run.cc
+++ b/tests/seed_run.cc
@@ -16,7 +16,7 @@
 
 SeedRun::SeedRun(std::uint64_t seed, BrokenBroadcast broken_broadcast, DecisionDigest* decisions)
     : random_(seed),
-      // Small record pages are rewritten less often, so records of unbound tasks stay longer.
+      // Small record pages are rarely rewritten for other tasks, so unbound records stay longer.
       cluster_(broken_broadcast, 3, 7, random_.Chance(0.5) ? kSmallPageBytes : kDefaultPageBytes),
       labels_(cluster_.labels) {
   ThreadRandom().seed(seed);  // for backoff delays
