--- a/tests/fault_scenario_test.cc
+++ b/tests/fault_scenario_test.cc
@@ -1,6 +1,6 @@
-// The combinations of faults of docs/notes/fault-combinations.md, one scenario each: whole
-// controllers in virtual time, two faults at once, the invariants checked throughout, and at the
-// end every accepted job over or running. What a scenario expects beside that it checks itself.
+// Runs the fault combinations of docs/notes/fault-combinations.md, one scenario each, on complete
+// controllers in virtual time. Invariants are checked throughout, and at the end every accepted job
+// must be final or running. Scenarios check further expectations themselves.
 #include <gtest/gtest.h>
 
 #include "fault_scenarios.h"
@@ -11,7 +11,7 @@
 struct FaultScenario {
   const char* name;
   std::function<void(ScenarioCluster&)> script;
-  int settle_s = 60;  // from the end of the faults until the final state must be reached
+  int settle_s = 60;  // time from the end of the faults to the final checks
 };
 
 std::ostream& operator<<(std::ostream& out, const FaultScenario& scenario) {
@@ -20,7 +20,7 @@
 
 class FaultScenarioTest : public ::testing::TestWithParam<FaultScenario> {};
 
-TEST_P(FaultScenarioTest, NoInvariantIsViolatedAndAllJobsRunOrAreAnswered) {
+TEST_P(FaultScenarioTest, KeepsInvariantsAndFinishesAllJobs) {
   ScenarioCluster cluster;
   cluster.Run(3);
   for (const char* job : {"j-1", "j-2"}) ASSERT_TRUE(cluster.Submit(job, 2, "n1"));
@@ -37,36 +37,36 @@
     Scenarios, FaultScenarioTest,
     ::testing::Values(
         FaultScenario{"ZoneBoundJobsLoseMachines", ZoneBoundJobsLoseMachines},
-        FaultScenario{"ZoneWithoutMachinesDelaysNoOtherJob", ZoneWithoutMachinesDelaysNoOtherJob},
-        FaultScenario{"PollsEverywhere", PollsEverywhereAroundAcceptanceEndAndCancellation},
-        FaultScenario{"CancelledAtTheEndOfTheLastTask", CancelledAtTheEndOfTheLastTask},
-        FaultScenario{"OnlyTheAnswerIsLostWhileOthersRead", OnlyTheAnswerIsLostWhileOthersRead},
-        FaultScenario{"StaleHeartbeatsReachEveryControllerDuringATakeover",
-                      StaleHeartbeatsReachEveryControllerDuringATakeover},
-        FaultScenario{"HeartbeatIsDelayedUntilANewLeaderHasActed",
-                      HeartbeatIsDelayedUntilANewLeaderHasActed},
-        FaultScenario{"TenChangesOfLeaderInTwoMinutes", TenChangesOfLeaderInTwoMinutes},
-        FaultScenario{"AllControllersAreDownForLongerThanALease",
-                      AllControllersAreDownForLongerThanALease},
-        FaultScenario{"CommandOfAFormerLeaderArrivesLate", CommandOfAFormerLeaderArrivesLate},
-        FaultScenario{"CancelledDuringAHandover", CancelledDuringAHandover},
-        FaultScenario{"CancelledAtTheQuotaOnUnreachableMachines",
-                      CancelledAtTheQuotaOnUnreachableMachinesDuringATakeover},
-        FaultScenario{"ZoneWithAControllerIsPartitionedForLongerThanALease",
-                      ZoneWithAControllerIsPartitionedForLongerThanALease},
-        FaultScenario{"MachinesThatSendNothingLoseTheirLeases",
-                      MachinesThatSendNothingLoseTheirLeasesThoughProbesAreAnswered},
-        FaultScenario{"CancelledAtTheRefusal", CancelledAtTheRefusalBeforeAnOutage},
-        FaultScenario{"LeadershipMovesBackAndForthAndAllCrash",
-                      LeadershipMovesBackAndForthAndAllCrash},
-        FaultScenario{"TasksEndFarApartAcrossLeaders", TasksEndFarApartAcrossLeaders},
-        FaultScenario{"LeaderCrashesWhileMachinesAreUnreachable",
-                      LeaderCrashesWhileMachinesAreUnreachable},
-        FaultScenario{"QuickBootsWhileWritesLag", QuickBootsWhileWritesLagAndTheLeaderCrashes},
+        FaultScenario{"ZoneWithoutMachinesDoesNotDelayOtherJobs",
+                      ZoneWithoutMachinesDoesNotDelayOtherJobs},
+        FaultScenario{"PollsAllControllers", PollsAllControllersAroundStateChanges},
+        FaultScenario{"CancellationWhenLastTaskEnds", CancellationWhenLastTaskEnds},
+        FaultScenario{"StoreResponseLostDuringReads", StoreResponseLostDuringReads},
+        FaultScenario{"StaleHeartbeatsAtAllControllersDuringTakeover",
+                      StaleHeartbeatsAtAllControllersDuringTakeover},
+        FaultScenario{"HeartbeatDelayedUntilNewLeaderActed", HeartbeatDelayedUntilNewLeaderActed},
+        FaultScenario{"TenLeaderChangesInTwoMinutes", TenLeaderChangesInTwoMinutes},
+        FaultScenario{"AllControllersDownBeyondLease", AllControllersDownBeyondLease},
+        FaultScenario{"LateCommandFromFormerLeader", LateCommandFromFormerLeader},
+        FaultScenario{"CancellationDuringHandover", CancellationDuringHandover},
+        FaultScenario{"CancellationAtQuotaOnUnreachableMachines",
+                      CancellationAtQuotaOnUnreachableMachinesDuringTakeover},
+        FaultScenario{"ZoneWithControllerPartitionedBeyondLease",
+                      ZoneWithControllerPartitionedBeyondLease},
+        FaultScenario{"MachinesWithoutHeartbeatsLoseLeases",
+                      MachinesWithoutHeartbeatsLoseLeasesDespiteProbes},
+        FaultScenario{"CancellationWhenStoreRefusesLeader",
+                      CancellationWhenStoreRefusesLeaderBeforeOutage},
+        FaultScenario{"LeadershipAlternatesThenAllControllersCrash",
+                      LeadershipAlternatesThenAllControllersCrash},
+        FaultScenario{"TasksEndUnderDifferentLeaders", TasksEndUnderDifferentLeaders},
+        FaultScenario{"LeaderCrashesWhileMachinesUnreachable",
+                      LeaderCrashesWhileMachinesUnreachable},
+        FaultScenario{"FastBootsWithLateWrites", FastBootsWithLateWritesAndLeaderCrash},
         FaultScenario{"OverloadWithSlowHeartbeatsAndCommands",
                       OverloadWithSlowHeartbeatsAndCommands},
-        FaultScenario{"InvalidRequestsAreNeverAccepted", InvalidRequestsAreNeverAccepted},
-        FaultScenario{"OneTaskJobsFourASecond", OneTaskJobsFourASecondAQuarterCancelled}),
+        FaultScenario{"InvalidRequestsAreRejected", InvalidRequestsAreRejected},
+        FaultScenario{"FourSingleTaskJobsPerSecond", FourSingleTaskJobsPerSecondQuarterCancelled}),
     [](const auto& info) { return std::string(info.param.name); });
 
 }  // namespace
--- a/tests/fiber.h
+++ b/tests/fiber.h
@@ -1,6 +1,5 @@
-// Threads of control that one thread runs in turn, in an order that the test chooses: each goes
-// on until it waits. So a controller's call can be in the middle of something while others act,
-// with the same interleaving every time.
+// Cooperative fibers on one thread. Each runs until it waits, and the test chooses which one
+// resumes. Calls of several controllers can thus interleave in a reproducible order.
 #pragma once
 
 #include <ucontext.h>
@@ -20,39 +19,39 @@
 class Fiber {
  public:
   Fiber() : stack_(new char[kStackBytes]) {
-    getcontext(&own_);
-    own_.uc_stack.ss_sp = stack_.get();
-    own_.uc_stack.ss_size = kStackBytes;
-    own_.uc_link = nullptr;
+    getcontext(&fiber_context_);
+    fiber_context_.uc_stack.ss_sp = stack_.get();
+    fiber_context_.uc_stack.ss_size = kStackBytes;
+    fiber_context_.uc_link = nullptr;
     const auto self = reinterpret_cast<std::uintptr_t>(this);
-    makecontext(&own_, reinterpret_cast<void (*)()>(&Fiber::Enter), 2,
+    makecontext(&fiber_context_, reinterpret_cast<void (*)()>(&Fiber::Enter), 2,
                 static_cast<unsigned>(self >> 32U), static_cast<unsigned>(self));
   }
   Fiber(const Fiber&) = delete;
   Fiber& operator=(const Fiber&) = delete;
 
-  // The one that runs now; none: the test itself.
+  // The running fiber; null while the test itself runs.
   static Fiber* Current() { return current_; }
   bool idle() const { return work_ == nullptr; }
 
-  // Runs `work` until it waits or ends. Only for one that is idle, from the test itself.
+  // Runs `work` until it waits or ends. The fiber must be idle and the caller outside all fibers.
   void Run(std::function<void()> work) {
     work_ = std::move(work);
     Resume();
   }
-  // Goes on with work that waits.
+  // Resumes waiting work until it waits again or ends.
   void Resume() {
     current_ = this;
-    Leaving(&test_stack_, stack_.get(), kStackBytes);
-    swapcontext(&test_, &own_);
-    Back(test_stack_, nullptr, nullptr);
+    StartSwitch(&caller_fake_stack_, stack_.get(), kStackBytes);
+    swapcontext(&caller_context_, &fiber_context_);
+    FinishSwitch(caller_fake_stack_, nullptr, nullptr);
     current_ = nullptr;
   }
-  // Waits until it is resumed. Only from the fiber itself.
+  // Suspends the running fiber until Resume(). Called only from the fiber itself.
   void Wait() {
-    Leaving(&own_stack_, bottom_, size_);
-    swapcontext(&own_, &test_);
-    Back(own_stack_, &bottom_, &size_);
+    StartSwitch(&fiber_fake_stack_, caller_stack_bottom_, caller_stack_size_);
+    swapcontext(&fiber_context_, &caller_context_);
+    FinishSwitch(fiber_fake_stack_, &caller_stack_bottom_, &caller_stack_size_);
   }
 
  private:
@@ -60,7 +59,7 @@
 
   static void Enter(unsigned high, unsigned low) {
     auto* self = reinterpret_cast<Fiber*>((static_cast<std::uintptr_t>(high) << 32U) | low);
-    Back(nullptr, &self->bottom_, &self->size_);
+    FinishSwitch(nullptr, &self->caller_stack_bottom_, &self->caller_stack_size_);
     for (;;) {
       self->work_();
       self->work_ = nullptr;
@@ -69,33 +68,33 @@
   }
 
 #if defined(__SANITIZE_ADDRESS__)
-  static void Leaving(void** kept, const void* bottom, std::size_t size) {
-    __sanitizer_start_switch_fiber(kept, bottom, size);
+  static void StartSwitch(void** fake_stack, const void* bottom, std::size_t size) {
+    __sanitizer_start_switch_fiber(fake_stack, bottom, size);
   }
-  static void Back(void* kept, const void** bottom, std::size_t* size) {
-    __sanitizer_finish_switch_fiber(kept, bottom, size);
+  static void FinishSwitch(void* fake_stack, const void** bottom, std::size_t* size) {
+    __sanitizer_finish_switch_fiber(fake_stack, bottom, size);
   }
 #else
-  static void Leaving(void**, const void*, std::size_t) {}
-  static void Back(void*, const void**, std::size_t*) {}
+  static void StartSwitch(void**, const void*, std::size_t) {}
+  static void FinishSwitch(void*, const void**, std::size_t*) {}
 #endif
 
   static inline thread_local Fiber* current_ = nullptr;
 
   std::unique_ptr<char[]> stack_;
-  ucontext_t own_{};
-  ucontext_t test_{};
-  void* own_stack_ = nullptr;
-  void* test_stack_ = nullptr;
-  const void* bottom_ = nullptr;  // the test's stack, as the sanitizer knows it
-  std::size_t size_ = 0;
+  ucontext_t fiber_context_{};
+  ucontext_t caller_context_{};
+  void* fiber_fake_stack_ = nullptr;
+  void* caller_fake_stack_ = nullptr;
+  const void* caller_stack_bottom_ = nullptr;  // the caller's stack, as reported by the sanitizer
+  std::size_t caller_stack_size_ = 0;
   std::function<void()> work_;
 };
 
-// Fibers that are used again and again.
+// Reuses idle fibers and allocates new ones on demand.
 class FiberPool {
  public:
-  Fiber& Idle() {
+  Fiber& AcquireIdle() {
     for (const auto& fiber : fibers_)
       if (fiber->idle()) return *fiber;
     return *fibers_.emplace_back(std::make_unique<Fiber>());
--- a/tests/simulated_cluster_workers.cc
+++ b/tests/simulated_cluster_workers.cc
@@ -1,4 +1,4 @@
-// Machines and workers of the simulated cluster: heartbeats, leases, commands and rentals.
+// Machines and workers of the simulated cluster: heartbeats, leases, commands and provisioning.
 #include "simulated_cluster.h"
 
 namespace magpie::testing {
@@ -21,8 +21,9 @@
 }
 
 void SimulatedCluster::OnWorkerChanged(Machine& machine) {
-  changed_ = true;
-  if (draw) machine.next_heartbeat = std::min(machine.next_heartbeat, now + draw->Time(0.1, 0.6));
+  invariant_check_pending_ = true;
+  if (random)
+    machine.next_heartbeat = std::min(machine.next_heartbeat, now + random->Duration(0.1, 0.6));
 }
 
 std::size_t SimulatedCluster::MachineCount() const {
@@ -36,9 +37,10 @@
       (machine->lost_state && machine->worker.token() == FencingToken{}))
     return;
   if (!machine->CanReceive()) {
-    // It is delivered once the machine is back, and waits no longer than some minutes.
-    if (draw)
-      ScheduleAfter(draw->Time(0.1, 1), [this, direct_command] { DeliverCommand(direct_command); });
+    // Retries until the machine is reachable; the sweep ends within minutes.
+    if (random)
+      ScheduleAfter(random->Duration(0.1, 1),
+                    [this, direct_command] { DeliverCommand(direct_command); });
     return;
   }
   if (machine->worker.Take(direct_command)) OnWorkerChanged(*machine);
@@ -49,8 +51,8 @@
   std::size_t n = 0;
   for (const Machine& machine : machines)
     if (!machine.removed)
-      for (const TaskStatus& t : machine.worker.tasks())
-        n += t.task.job.value == job && t.state != TaskState::kEnded ? 1 : 0;
+      for (const TaskStatus& status : machine.worker.tasks())
+        n += status.task.job.value == job && status.state != TaskState::kEnded ? 1 : 0;
   return n;
 }
 
@@ -60,28 +62,28 @@
   return n;
 }
 
-int stale_batches = 0;  // how often a leader's books of its pages were wrong
+int stale_batches = 0;  // not used; SimulatedCluster::stale_batches is
 
 void SimulatedCluster::RepeatHeartbeat(const std::string& body, const std::string& at) {
   if (IsUp(at)) Heartbeat(at, body);
 }
 
 void SimulatedCluster::ScheduleWorker(Machine& machine) {
-  ScheduleAfter(draw->Time(0.2, 0.6), [this, &machine] {
+  ScheduleAfter(random->Duration(0.2, 0.6), [this, &machine] {
     if (machine.removed) return;
     if (now >= machine.booted_at) RunWorker(machine);
     ScheduleWorker(machine);
   });
 }
 
-MachineId SimulatedCluster::AddRentedMachine(const std::string& name, const std::string& zone,
-                                             bool spot) {
+MachineId SimulatedCluster::AddProvisionedMachine(const std::string& name, const std::string& zone,
+                                                  bool spot) {
   if (Find({name}) != nullptr) violations.insert("rental_name_reused");
   Machine& machine = machines.emplace_back(name, "small", zone, spot);
-  machine.booted_at = now + draw->Time(0.3, 2);
+  machine.booted_at = now + random->Duration(0.3, 2);
   machine.lease_renewed = machine.booted_at;
   machine.next_heartbeat = machine.booted_at;
-  machine.destination = static_cast<std::size_t>(draw->Below(static_cast<int>(labels.size())));
+  machine.destination = static_cast<std::size_t>(random->Below(static_cast<int>(labels.size())));
   ScheduleWorker(machine);
   return machine.worker.id();
 }
@@ -93,21 +95,21 @@
     ++machine.generation;
     machine.lease_renewed = now;
     machine.awaiting_response = false;
-    changed_ = true;
+    invariant_check_pending_ = true;
   }
   if (machine.awaiting_response || now < machine.next_heartbeat) return;
-  machine.next_heartbeat =
-      now + draw->Time(0.75 * kTestHeartbeatInterval.value, 1.25 * kTestHeartbeatInterval.value);
+  machine.next_heartbeat = now + random->Duration(0.75 * kTestHeartbeatInterval.value,
+                                                  1.25 * kTestHeartbeatInterval.value);
   const std::string body = protocol::HeartbeatToJson(machine.worker.Snapshot()).dump();
   RememberHeartbeat(machine, body);
   machine.awaiting_response = true;
-  const auto answer_until = now + kHeartbeatTimeout;
+  const auto response_deadline = now + kHeartbeatTimeout;
   const auto generation = ++machine.generation;
-  ScheduleAt(answer_until, [&machine, generation] {
+  ScheduleAt(response_deadline, [&machine, generation] {
     if (machine.generation == generation) machine.awaiting_response = false;
   });
-  const Seconds takes = machine.slow_heartbeats ? draw->Time(0.1, 3) : Seconds{};
-  ScheduleAfter(takes, [this, &machine, generation, sent = now, body] {
+  const Seconds latency = machine.slow_heartbeats ? random->Duration(0.1, 3) : Seconds{};
+  ScheduleAfter(latency, [this, &machine, generation, sent = now, body] {
     DeliverHeartbeat(machine, generation, sent, body);
   });
 }
@@ -119,15 +121,15 @@
       !machine.IsReachableFrom(destination))
     return OnHeartbeatAnswered(machine, generation, sent, std::nullopt);
   const HttpResponse response = Heartbeat(destination, body);
-  const Seconds takes = machine.slow_heartbeats ? draw->Time(0.1, 3) : Seconds{};
-  if (takes.value == 0) return OnHeartbeatAnswered(machine, generation, sent, response);
-  ScheduleAfter(takes,
+  const Seconds latency = machine.slow_heartbeats ? random->Duration(0.1, 3) : Seconds{};
+  if (latency.value == 0) return OnHeartbeatAnswered(machine, generation, sent, response);
+  ScheduleAfter(latency,
                 [=, this, &machine] { OnHeartbeatAnswered(machine, generation, sent, response); });
 }
 
 void SimulatedCluster::OnHeartbeatAnswered(Machine& machine, std::uint64_t generation, Instant sent,
                                            const std::optional<HttpResponse>& response) {
-  // After 4 s it is dropped, as is one to an earlier session's report.
+  // Drops responses after the heartbeat timeout (4 s) and those to an earlier agent epoch.
   if (machine.removed || machine.generation != generation || !machine.awaiting_response) return;
   machine.awaiting_response = false;
   if (!response || machine.receives_nothing)
@@ -175,7 +177,7 @@
   if (machine.sent_heartbeats.size() > 12) machine.sent_heartbeats.pop_front();
   if (const auto copy = repeat_heartbeat()) {
     repeated_heartbeats.emplace_back(copy->first, copy->second, body);
-    if (draw)
+    if (random)
       ScheduleAt(copy->first, [this, at = copy->second, body] { RepeatHeartbeat(body, at); });
   }
 }
