--- a/bench/binding_world.cc
+++ b/bench/binding_world.cc
@@ -13,22 +13,23 @@
 namespace magpie::bench {
 namespace {
 
-constexpr Seconds kStep{0.05};
-constexpr double kRoomForMore = 1.25;  // of the tasks in the mean: nothing waits for room
+constexpr Seconds kTimeStep{0.05};
+constexpr double kCapacityFactor = 1.25;  // spare capacity, so that no task waits for a machine
 constexpr double kRunTimeSpread = 0.5;
 constexpr const char* kZones[] = {"a", "b", "c"};
 
-std::string Number(std::uint64_t n) {
+std::string ZeroPadded(std::uint64_t n) {
   const std::string text = std::to_string(n);
   return std::string(8 - std::min<std::size_t>(8, text.size()), '0') + text;
 }
 
-// Processor time of this thread: other programs do not count.
+// CPU time of the calling thread, which other processes do not affect.
 double CpuSeconds() {
   timespec time{};
   clock_gettime(CLOCK_THREAD_CPUTIME_ID, &time);
-  constexpr double kNano = 1e-9;
-  return static_cast<double>(time.tv_sec) + kNano * static_cast<double>(time.tv_nsec);
+  constexpr double kSecondsPerNanosecond = 1e-9;
+  return static_cast<double>(time.tv_sec) +
+         kSecondsPerNanosecond * static_cast<double>(time.tv_nsec);
 }
 
 double Quantile(std::vector<double>& values, double part) {
@@ -44,7 +45,7 @@
   core.heartbeat_interval = options.heartbeat_interval;
   core.lease = {45};
   core.headroom = 0;
-  core.idle_timeout = {1e9};  // the fleet stays as it is
+  core.idle_timeout = {1e9};  // no machine is released for being idle
   core.writes_per_s = options.writes_per_s;
   return core;
 }
@@ -54,11 +55,11 @@
 ChurnWorld::ChurnWorld(const ChurnOptions& options) : options_(options) {
   for (std::uint32_t i = 0; i < options_.machines; ++i) {
     load_test::SimulatedWorker::Options worker;
-    worker.agent.machine = {"vm-" + Number(i)};
+    worker.agent.machine = {"vm-" + ZeroPadded(i)};
     worker.agent.addr = "127.0.0.1:10000";
     worker.agent.type = "plain";
     worker.agent.zone = kZones[i % std::size(kZones)];
-    worker.agent.capacity = {2.0 * kRoomForMore * options_.tasks_each, 0, 1e6};
+    worker.agent.capacity = {2.0 * kCapacityFactor * options_.tasks_per_machine, 0, 1e6};
     worker.agent.cache_gb = 1e6;
     worker.agent.heartbeat_interval = options_.heartbeat_interval;
     worker.agent.lease = {45};
@@ -67,17 +68,17 @@
     worker.seed = i;
     workers_.push_back(
         std::make_unique<load_test::SimulatedWorker>(std::move(worker), ledger_, *this, now_));
-    wake_at_.push_back({});
-    Schedule(i);
+    next_wake_up_.push_back({});
+    ScheduleWakeUp(i);
   }
-  Lead();
+  StartCore();
 }
 
-void ChurnWorld::Lead() {
+void ChurnWorld::StartCore() {
   core_ = std::make_unique<Scheduler>(CoreOptions(options_), Autoscaler::Options{});
-  const Resources room{2.0 * kRoomForMore * options_.tasks_each, 0, 1e6};
-  core_->SetTypes({{"plain", room, 1e6, 1, 1.0, 0.4, {20}, {"a", "b", "c"}}});
-  core_->Start({++stamp_}, "r-", now_);
+  const Resources capacity{2.0 * kCapacityFactor * options_.tasks_per_machine, 0, 1e6};
+  core_->SetTypes({{"plain", capacity, 1e6, 1, 1.0, 0.4, {20}, {"a", "b", "c"}}});
+  core_->Start({++last_revision_}, "r-", now_);
   core_->FinishLoad(now_);
 }
 
@@ -85,93 +86,96 @@
 auto ChurnWorld::Measure(const char* step, Step run) {
   StepCost& cost = result_.steps[step];
   const double begin = CpuSeconds();
-  const auto note = [&] {
-    const double took = CpuSeconds() - begin;
+  const auto add_cost = [&] {
+    const double elapsed = CpuSeconds() - begin;
     ++cost.calls;
-    cost.seconds += took;
-    cost.worst = std::max(cost.worst, took);
+    cost.seconds += elapsed;
+    cost.max_seconds = std::max(cost.max_seconds, elapsed);
   };
   if constexpr (std::is_void_v<decltype(run())>) {
     run();
-    note();
+    add_cost();
   } else {
     auto value = run();
-    note();
+    add_cost();
     return value;
   }
 }
 
 ChurnResult ChurnWorld::Run() {
   const Instant begin = now_;
-  const Instant counted = begin + options_.warm_up;
-  const Instant end = counted + options_.measured;
-  bool counts = false;
-  Instant tick = now_;
+  const Instant measure_from = begin + options_.warm_up_time;
+  const Instant end = measure_from + options_.measured_time;
+  bool measuring = false;
+  Instant next_planning = now_;
   while (now_ < end) {
-    now_ = now_ + kStep;
-    if (!counts && now_ >= counted) {
-      counts = true;
+    now_ = now_ + kTimeStep;
+    if (!measuring && now_ >= measure_from) {
+      measuring = true;
       result_ = {};
-      waits_.clear();
+      start_latencies_.clear();
     }
-    SubmitDue();
-    ReportDue();
-    WriteDue();
-    if (now_ >= tick) {
+    SubmitDueJobs();
+    SendDueHeartbeats();
+    CompleteDueWrite();
+    if (now_ >= next_planning) {
       Measure("plan", [this] { core_->Tick(now_, {now_.value}); });
-      tick = now_ + options_.tick;
+      next_planning = now_ + options_.planning_interval;
     }
-    CallCloud();
-    SendWrite();
-    PushAll();
+    AnswerCloudCalls();
+    StartWrite();
+    DeliverDirectCommandsAndProbes();
   }
-  for (const auto& worker : workers_) result_.running += static_cast<double>(worker->running());
+  for (const auto& worker : workers_)
+    result_.tasks_running += static_cast<double>(worker->running());
   result_.waiting_machines = core_->machines_awaiting_commands();
-  result_.start_median = Quantile(waits_, 0.5);
-  result_.start_99 = Quantile(waits_, 0.99);
-  TakeOver();
+  result_.median_start_latency_s = Quantile(start_latencies_, 0.5);
+  result_.p99_start_latency_s = Quantile(start_latencies_, 0.99);
+  MeasureTakeover();
   return std::move(result_);
 }
 
 void ChurnWorld::OnTaskBegan(const MachineId&, const TaskId& task, Attempt, Instant now) {
-  ++result_.started;
-  const auto it = submitted_.find(task.job);
-  if (it != submitted_.end()) waits_.push_back((now - it->second).value);
+  ++result_.tasks_started;
+  const auto it = submitted_at_.find(task.job);
+  if (it != submitted_at_.end()) start_latencies_.push_back((now - it->second).value);
 }
 
-void ChurnWorld::SubmitDue() {
-  const Seconds run_time{options_.tasks_each * options_.machines / options_.starts};
-  for (due_ += options_.starts * kStep.value; due_ >= options_.array; due_ -= options_.array) {
-    JobSpec spec = testing::MakeJob("j-" + Number(++jobs_), options_.array);
+void ChurnWorld::SubmitDueJobs() {
+  const Seconds run_time{options_.tasks_per_machine * options_.machines / options_.starts_per_s};
+  for (due_tasks_ += options_.starts_per_s * kTimeStep.value; due_tasks_ >= options_.tasks_per_job;
+       due_tasks_ -= options_.tasks_per_job) {
+    JobSpec spec = testing::MakeJob("j-" + ZeroPadded(++submitted_jobs_), options_.tasks_per_job);
     spec.estimate = run_time;
     spec.submitted = {now_.value};
     ledger_.Add({spec, run_time, kRunTimeSpread});
-    submitted_[spec.id] = now_;
-    const Revision revision{++stamp_};
+    submitted_at_[spec.id] = now_;
+    const Revision revision{++last_revision_};
     store_[records::JobKey(spec.id)] = records::ToJson(records::JobRecord{spec}).dump();
     Measure("accept", [&] { core_->LoadJob(spec, false, revision); });
   }
 }
 
-void ChurnWorld::Schedule(std::size_t worker) {
-  const Instant at = std::max(workers_[worker]->Wake(), now_ + kStep);
-  wake_at_[worker] = at;
-  wakes_.push({at, worker});
+void ChurnWorld::ScheduleWakeUp(std::size_t worker) {
+  const Instant at = std::max(workers_[worker]->Wake(), now_ + kTimeStep);
+  next_wake_up_[worker] = at;
+  wake_ups_.push({at, worker});
 }
 
-void ChurnWorld::ReportDue() {
-  while (!wakes_.empty() && wakes_.top().at <= now_) {
-    const Wake wake = wakes_.top();
-    wakes_.pop();
-    if (wake_at_[wake.worker] != wake.at) continue;
-    load_test::SimulatedWorker& worker = *workers_[wake.worker];
+void ChurnWorld::SendDueHeartbeats() {
+  while (!wake_ups_.empty() && wake_ups_.top().at <= now_) {
+    const WakeUp wake_up = wake_ups_.top();
+    wake_ups_.pop();
+    if (next_wake_up_[wake_up.worker] != wake_up.at) continue;
+    load_test::SimulatedWorker& worker = *workers_[wake_up.worker];
     worker.Advance(now_);
-    if (const auto out = worker.NextHeartbeat(now_)) Heartbeat(wake.worker, out->heartbeat);
-    Schedule(wake.worker);
+    if (const auto outgoing = worker.NextHeartbeat(now_))
+      DeliverHeartbeat(wake_up.worker, outgoing->heartbeat);
+    ScheduleWakeUp(wake_up.worker);
   }
 }
 
-void ChurnWorld::Heartbeat(std::size_t worker, const magpie::Heartbeat& heartbeat) {
+void ChurnWorld::DeliverHeartbeat(std::size_t worker, const magpie::Heartbeat& heartbeat) {
   const std::string body =
       Measure("worker's report", [&] { return protocol::HeartbeatToJson(heartbeat).dump(); });
   result_.steps["worker's report"].bytes += body.size();
@@ -188,20 +192,20 @@
                              now_);
 }
 
-std::size_t ChurnWorld::IndexOf(const MachineId& machine) const {
+std::size_t ChurnWorld::WorkerIndex(const MachineId& machine) const {
   return std::stoul(machine.value.substr(3));
 }
 
-void ChurnWorld::PushAll() {
+void ChurnWorld::DeliverDirectCommandsAndProbes() {
   for (auto direct_command = core_->NextDirectCommand(now_); direct_command;
        direct_command = core_->NextDirectCommand(now_))
-    DirectCommand(*direct_command);
+    DeliverDirectCommand(*direct_command);
   core_->ScanForProbes(now_);
   for (auto probe = core_->NextProbe(now_); probe; probe = core_->NextProbe(now_))
-    DirectCommand(*probe);
+    DeliverDirectCommand(*probe);
 }
 
-void ChurnWorld::DirectCommand(const magpie::DirectCommand& direct_command) {
+void ChurnWorld::DeliverDirectCommand(const magpie::DirectCommand& direct_command) {
   const std::string body = Measure("make command", [&] {
     return protocol::DirectCommandToJson(direct_command.token, direct_command.agent_epoch,
                                          direct_command.commands)
@@ -209,7 +213,7 @@
   });
   result_.steps["make command"].bytes += body.size();
   Record(testing::DecisionKind::kCommand, direct_command.machine.value, body);
-  const std::size_t worker = IndexOf(direct_command.machine);
+  const std::size_t worker = WorkerIndex(direct_command.machine);
   const agent::DirectCommandReply answer = workers_[worker]->OnDirectCommand(
       direct_command.token, direct_command.agent_epoch, direct_command.commands, now_);
   const std::string text = protocol::HeartbeatToJson(answer.heartbeat).dump();
@@ -220,7 +224,7 @@
   Measure("lock for command", [&] {
     core_->OnDirectCommandResult(direct_command, DeliveryStatus::kAnswered, parsed, now_);
   });
-  Schedule(worker);
+  ScheduleWakeUp(worker);
 }
 
 void ChurnWorld::Record(testing::DecisionKind kind, const std::string& receiver, std::string body) {
@@ -228,7 +232,7 @@
   options_.decisions->Add({kind, now_, "leader", receiver, std::move(body)});
 }
 
-void ChurnWorld::CallCloud() {
+void ChurnWorld::AnswerCloudCalls() {
   for (auto call = core_->NextCloudCall(now_); call; call = core_->NextCloudCall(now_)) {
     Record(testing::DecisionKind::kCloudCall, "cloud", testing::BodyOf(*call));
     if (call->kind == CloudCall::Kind::kRelease) core_->OnReleased(*call, now_);
@@ -237,25 +241,27 @@
   }
 }
 
-void ChurnWorld::WriteDue() {
-  if (!write_ || write_->done > now_) return;
-  const Revision revision{++stamp_};
-  for (const WriteBatch::Drop& drop : write_->plan.drops) store_.erase(records::ToKey(drop.key));
-  for (const WriteBatch::Final& final : write_->plan.finals) {
+void ChurnWorld::CompleteDueWrite() {
+  if (!pending_write_ || pending_write_->commits_at > now_) return;
+  const Revision revision{++last_revision_};
+  for (const WriteBatch::Drop& drop : pending_write_->batch.drops)
+    store_.erase(records::ToKey(drop.key));
+  for (const WriteBatch::Final& final : pending_write_->batch.finals) {
     store_.erase(records::JobKey(final.job));
-    submitted_.erase(final.job);
+    submitted_at_.erase(final.job);
     ledger_.Remove(final.job);
   }
-  Measure("lock for written", [&] { core_->OnWriteCommitted(write_->plan, revision, now_); });
-  write_.reset();
+  Measure("lock for written",
+          [&] { core_->OnWriteCommitted(pending_write_->batch, revision, now_); });
+  pending_write_.reset();
 }
 
-void ChurnWorld::SendWrite() {
-  if (write_) return;
-  WriteBatch plan = Measure("lock for write", [this] { return core_->NextWriteBatch(now_); });
-  if (plan.empty()) return;
+void ChurnWorld::StartWrite() {
+  if (pending_write_) return;
+  WriteBatch batch = Measure("lock for write", [this] { return core_->NextWriteBatch(now_); });
+  if (batch.empty()) return;
   const std::string body = Measure("make transaction", [&] {
-    const Transaction txn = records::ToTransaction(plan, {{1}, {1}});
+    const Transaction txn = records::ToTransaction(batch, {{1}, {1}});
     Json applied = Json::array();
     for (const Change& change : txn.changes) applied.push_back(change.value.value_or(Json()));
     return applied.dump();
@@ -263,29 +269,29 @@
   result_.steps["make transaction"].bytes += body.size();
   if (options_.decisions != nullptr)
     Record(testing::DecisionKind::kTransaction, "state",
-           TransactionToJson(records::ToTransaction(plan, {{1}, {1}})).dump());
-  Count(plan);
-  write_ = OpenWrite{std::move(plan), now_ + options_.write_latency};
+           TransactionToJson(records::ToTransaction(batch, {{1}, {1}})).dump());
+  CountWrite(batch);
+  pending_write_ = PendingWrite{std::move(batch), now_ + options_.write_latency};
 }
 
-void ChurnWorld::Count(const WriteBatch& plan) {
+void ChurnWorld::CountWrite(const WriteBatch& batch) {
   ++result_.transactions;
-  result_.changes += plan.puts.size() + plan.drops.size() + 2 * plan.finals.size();
-  for (const WriteBatch::Put& put : plan.puts) {
+  result_.written_keys += batch.puts.size() + batch.drops.size() + 2 * batch.finals.size();
+  for (const WriteBatch::Put& put : batch.puts) {
     std::string text = records::ToJson(put.records).dump();
     const std::vector<RecordPageEntry> fresh(
         put.records.begin() + static_cast<std::ptrdiff_t>(put.rewritten), put.records.end());
     ++result_.page_puts;
-    result_.records += fresh.size();
-    result_.rewritten += put.rewritten;
-    result_.record_bytes += records::ToJson(fresh).dump().size();
+    result_.new_records += fresh.size();
+    result_.rewritten_records += put.rewritten;
+    result_.new_record_bytes += records::ToJson(fresh).dump().size();
     result_.page_bytes += text.size();
     store_[records::ToKey(put.key)] = std::move(text);
   }
 }
 
-// Reads all records as a new leader does, but for the way over the network.
-void ChurnWorld::TakeOver() {
+// Loads all records into a new core, as a new leader does, without the network transfer.
+void ChurnWorld::MeasureTakeover() {
   for (const auto& [key, text] : store_) {
     result_.stored_bytes += key.size() + text.size();
     ++(key.starts_with(records::kJobPrefix) ? result_.jobs : result_.pages);
@@ -293,7 +299,7 @@
   core_.reset();
   core_ = std::make_unique<Scheduler>(CoreOptions(options_), Autoscaler::Options{});
   const double begin = CpuSeconds();
-  core_->Start({++stamp_}, "r-", now_);
+  core_->Start({++last_revision_}, "r-", now_);
   for (const auto& [key, text] : store_) {
     const Json value = Json::parse(text);
     if (const auto page = records::ParseRecordPageKey(key)) {
--- a/bench/binding_world.h
+++ b/bench/binding_world.h
@@ -1,7 +1,7 @@
-// A leader's core under a steady churn of tasks, in virtual time and in one thread: hollow
-// workers report, jobs arrive, plans are made and pages written, each with the wire's JSON
-// as controllers make it. Processor time is measured for each kind of step; latencies of
-// the state service and the order of events are virtual, so counts repeat.
+// Runs the scheduler core of a leader under a steady churn of tasks, in virtual time on one thread.
+// Simulated workers send heartbeats, jobs arrive, the core plans and writes record pages; every
+// message is encoded to JSON and parsed as in a controller. CPU time is measured for each kind of
+// step. Store latency and the order of events are virtual, so counts are reproducible.
 #pragma once
 
 #include <cstdint>
@@ -21,45 +21,45 @@
 
 struct ChurnOptions {
   std::uint32_t machines = 850;
-  std::uint32_t tasks_each = 25;  // that a machine runs in the mean
-  double starts = 100;            // tasks a second
-  std::uint32_t array = 50;       // tasks of a job
+  std::uint32_t tasks_per_machine = 25;  // mean number of running tasks
+  double starts_per_s = 100;
+  std::uint32_t tasks_per_job = 50;
   Seconds heartbeat_interval{3};
   Seconds write_latency{0.01};
-  double writes_per_s = 1e9;  // puts and drops that the leader may use
-  Seconds tick{0.25};         // between two plans
-  Seconds warm_up{60};
-  Seconds measured{60};
-  testing::DecisionDigest* decisions = nullptr;  // records what the leader sends
+  double writes_per_s = 1e9;  // page puts and deletions allowed
+  Seconds planning_interval{0.25};
+  Seconds warm_up_time{60};
+  Seconds measured_time{60};
+  testing::DecisionDigest* decisions = nullptr;  // records all messages of the leader
 };
 
-// What one kind of step took.
+// Measurements of one kind of step.
 struct StepCost {
   std::uint64_t calls = 0;
-  double seconds = 0;
-  double worst = 0;  // of one call
+  double seconds = 0;      // CPU time
+  double max_seconds = 0;  // of a single call
   std::uint64_t bytes = 0;
 };
 
 struct ChurnResult {
   std::map<std::string, StepCost> steps;
-  std::uint64_t started = 0;
-  std::uint64_t ended = 0;
-  double running = 0;  // at the end
+  std::uint64_t tasks_started = 0;
+  std::uint64_t tasks_ended = 0;
+  double tasks_running = 0;  // at the end
   std::uint64_t transactions = 0;
-  std::uint64_t changes = 0;  // puts and drops
+  std::uint64_t written_keys = 0;  // put or deleted
   std::uint64_t page_puts = 0;
-  std::uint64_t records = 0;         // that were new
-  std::uint64_t rewritten = 0;       // written again though nothing had changed
-  std::uint64_t record_bytes = 0;    // of the new records alone
-  std::uint64_t page_bytes = 0;      // written
-  std::size_t pages = 0;             // at the end
-  std::uint64_t stored_bytes = 0;    // pages and jobs at the end
-  std::size_t jobs = 0;              // that live at the end
-  std::size_t waiting_machines = 0;  // for commands, at the end
-  double takeover_seconds = 0;       // to parse and load all that
-  double start_median = 0;           // from submission, virtual
-  double start_99 = 0;
+  std::uint64_t new_records = 0;
+  std::uint64_t rewritten_records = 0;  // written unchanged, with their page
+  std::uint64_t new_record_bytes = 0;
+  std::uint64_t page_bytes = 0;       // written by all page puts
+  std::size_t pages = 0;              // at the end
+  std::uint64_t stored_bytes = 0;     // record pages and job records at the end
+  std::size_t jobs = 0;               // active at the end
+  std::size_t waiting_machines = 0;   // with undelivered commands at the end
+  double takeover_seconds = 0;        // CPU time to parse and load all records
+  double median_start_latency_s = 0;  // virtual time from submission
+  double p99_start_latency_s = 0;
 };
 
 class ChurnWorld : public load_test::TaskObserver {
@@ -68,35 +68,35 @@
   ChurnResult Run();
 
  private:
-  struct Wake {
+  struct WakeUp {
     Instant at;
     std::size_t worker = 0;
-    bool operator>(const Wake& other) const { return at > other.at; }
+    bool operator>(const WakeUp& other) const { return at > other.at; }
   };
-  struct OpenWrite {
-    WriteBatch plan;
-    Instant done;
+  struct PendingWrite {
+    WriteBatch batch;
+    Instant commits_at;
   };
 
   void OnTaskBegan(const MachineId&, const TaskId& task, Attempt, Instant now) override;
   void OnTaskLeft(const MachineId&, const TaskId&, Attempt, bool, Instant) override {
-    ++result_.ended;
+    ++result_.tasks_ended;
   }
 
-  void Lead();
-  void SubmitDue();
-  void ReportDue();
-  void Heartbeat(std::size_t worker, const magpie::Heartbeat& heartbeat);
-  void PushAll();
-  void DirectCommand(const magpie::DirectCommand& direct_command);
-  void CallCloud();
-  void WriteDue();
-  void SendWrite();
-  void Count(const WriteBatch& plan);
+  void StartCore();
+  void SubmitDueJobs();
+  void SendDueHeartbeats();
+  void DeliverHeartbeat(std::size_t worker, const magpie::Heartbeat& heartbeat);
+  void DeliverDirectCommandsAndProbes();
+  void DeliverDirectCommand(const magpie::DirectCommand& direct_command);
+  void AnswerCloudCalls();
+  void CompleteDueWrite();
+  void StartWrite();
+  void CountWrite(const WriteBatch& batch);
   void Record(testing::DecisionKind kind, const std::string& receiver, std::string body);
-  void Schedule(std::size_t worker);
-  void TakeOver();
-  std::size_t IndexOf(const MachineId& machine) const;
+  void ScheduleWakeUp(std::size_t worker);
+  void MeasureTakeover();
+  std::size_t WorkerIndex(const MachineId& machine) const;
 
   template <typename Step>
   auto Measure(const char* step, Step run);
@@ -106,16 +106,16 @@
   std::unique_ptr<Scheduler> core_;
   load_test::JobLedger ledger_;
   std::vector<std::unique_ptr<load_test::SimulatedWorker>> workers_;
-  std::vector<Instant> wake_at_;
-  std::priority_queue<Wake, std::vector<Wake>, std::greater<>> wakes_;
-  std::map<std::string, std::string> store_;  // the records: key and JSON
-  std::optional<OpenWrite> write_;
-  std::map<JobId, Instant> submitted_;
-  std::vector<double> waits_;
+  std::vector<Instant> next_wake_up_;
+  std::priority_queue<WakeUp, std::vector<WakeUp>, std::greater<>> wake_ups_;
+  std::map<std::string, std::string> store_;  // JSON records by key
+  std::optional<PendingWrite> pending_write_;
+  std::map<JobId, Instant> submitted_at_;
+  std::vector<double> start_latencies_;
   Instant now_{1000};
-  std::uint64_t stamp_ = 100;
-  std::uint64_t jobs_ = 0;
-  double due_ = 0;  // tasks that are due to be submitted
+  std::uint64_t last_revision_ = 100;
+  std::uint64_t submitted_jobs_ = 0;
+  double due_tasks_ = 0;  // tasks to submit, with the fraction of the next one
 };
 
 }  // namespace magpie::bench
--- a/bench/cluster_builder.cc
+++ b/bench/cluster_builder.cc
@@ -9,163 +9,167 @@
 namespace magpie::bench {
 namespace {
 
-constexpr Seconds kReport{10};
+constexpr Seconds kHeartbeatInterval{10};
 constexpr std::uint32_t kTasksPerJob = 64;
 constexpr const char* kZones[] = {"a", "b", "c", "d"};
 
-std::string Number(std::uint32_t n) {
+std::string ZeroPadded(std::uint32_t n) {
   std::string text = std::to_string(n);
   return std::string(8 - text.size(), '0') + text;
 }
 
 }  // namespace
 
-FleetOf::FleetOf(std::uint32_t machines) {
+BenchmarkCluster::BenchmarkCluster(std::uint32_t machines) {
   for (std::uint32_t i = 0; i < machines; ++i) {
-    magpie::Heartbeat r;
-    r.machine = {"vm-" + Number(i)};
-    r.addr = "127.0.0.1:1";
-    r.type = "plain";
-    r.zone = kZones[i % 4];
-    r.agent_epoch = 1;
-    for (std::uint32_t k = 0; k < kTasksEach; ++k) {
-      const std::uint32_t task = i * kTasksEach + k;
-      r.tasks.push_back({{{"j-" + Number(task / kTasksPerJob)}, task % kTasksPerJob},
-                         {1},
-                         TaskState::kRunning,
-                         ExitReason::kNone,
-                         false});
+    magpie::Heartbeat heartbeat;
+    heartbeat.machine = {"vm-" + ZeroPadded(i)};
+    heartbeat.addr = "127.0.0.1:1";
+    heartbeat.type = "plain";
+    heartbeat.zone = kZones[i % 4];
+    heartbeat.agent_epoch = 1;
+    for (std::uint32_t k = 0; k < kTasksPerMachine; ++k) {
+      const std::uint32_t task = i * kTasksPerMachine + k;
+      heartbeat.tasks.push_back({{{"j-" + ZeroPadded(task / kTasksPerJob)}, task % kTasksPerJob},
+                                 {1},
+                                 TaskState::kRunning,
+                                 ExitReason::kNone,
+                                 false});
     }
-    first_.push_back(std::move(r));
+    initial_heartbeats_.push_back(std::move(heartbeat));
   }
-  reports_ = first_;
+  heartbeats_ = initial_heartbeats_;
   TakeOver();
 }
 
 template <typename Step>
-void FleetOf::Count(Step step) {
+void BenchmarkCluster::MeasureStep(Step step) {
   const auto begin = std::chrono::steady_clock::now();
   step();
-  spent_.value += std::chrono::duration<double>(std::chrono::steady_clock::now() - begin).count();
+  scheduler_time_.value +=
+      std::chrono::duration<double>(std::chrono::steady_clock::now() - begin).count();
 }
 
-void FleetOf::Tick() {
-  Count([this] { core_->Tick(now_, wall_); });
+void BenchmarkCluster::Tick() {
+  MeasureStep([this] { core_->Tick(now_, wall_time_); });
 }
 
-JobSpec FleetOf::Spec(const std::string& id, std::uint32_t tasks) const {
-  JobSpec s = testing::MakeJob(id, tasks);
-  s.estimate = {1e6};
-  s.deadline = Seconds{1e7};
-  return s;
+JobSpec BenchmarkCluster::MakeSpec(const std::string& id, std::uint32_t tasks) const {
+  JobSpec spec = testing::MakeJob(id, tasks);
+  spec.estimate = {1e6};
+  spec.deadline = Seconds{1e7};
+  return spec;
 }
 
-void FleetOf::TakeOver() {
+void BenchmarkCluster::TakeOver() {
   Scheduler::Options options;
   options.teams = {{"red", 0, 0, 0, 0}};
-  options.heartbeat_interval = kReport;
+  options.heartbeat_interval = kHeartbeatInterval;
   options.lease = {45};
   options.headroom = 0;
   core_ = std::make_unique<Scheduler>(options, Autoscaler::Options{});
   core_->SetTypes({{"plain", {10, 0, 64}, 60, 1, 1.0, 0.4, {20}, {"a", "b", "c", "d"}}});
-  Count([this] { Load(); });
+  MeasureStep([this] { LoadRecords(); });
 }
 
-void FleetOf::Load() {
-  core_->Start({++stamp_}, "r-", now_);
-  const auto tasks = static_cast<std::uint32_t>(reports_.size()) * kTasksEach;
+void BenchmarkCluster::LoadRecords() {
+  core_->Start({++last_revision_}, "r-", now_);
+  const auto tasks = static_cast<std::uint32_t>(heartbeats_.size()) * kTasksPerMachine;
   for (std::uint32_t first = 0; first < tasks; first += kTasksPerJob) {
-    const std::uint32_t here = std::min(kTasksPerJob, tasks - first);
-    const JobId id{"j-" + Number(first / kTasksPerJob)};
-    core_->LoadJob(Spec(id.value, here), false, {1});
+    const std::uint32_t tasks_in_job = std::min(kTasksPerJob, tasks - first);
+    const JobId id{"j-" + ZeroPadded(first / kTasksPerJob)};
+    core_->LoadJob(MakeSpec(id.value, tasks_in_job), false, {1});
     std::vector<RecordPageEntry> records;
-    for (std::uint32_t i = 0; i < here; ++i) {
-      const std::uint32_t machine = (first + i) / kTasksEach;
-      records.push_back({id, {i, {1}, false, reports_[machine].machine, reports_[machine].zone}});
+    for (std::uint32_t i = 0; i < tasks_in_job; ++i) {
+      const std::uint32_t machine = (first + i) / kTasksPerMachine;
+      records.push_back(
+          {id, {i, {1}, false, heartbeats_[machine].machine, heartbeats_[machine].zone}});
     }
     core_->LoadRecordPage({{}, first / kTasksPerJob}, records, {2});
   }
   core_->FinishLoad(now_);
-  for (std::size_t i = 0; i < reports_.size(); ++i) Hear(i);
+  for (std::size_t i = 0; i < heartbeats_.size(); ++i) HandleHeartbeat(i);
   core_->OnList({}, now_);
 }
 
-void FleetOf::Heartbeat(std::size_t machine) {
-  Count([&] { Hear(machine); });
+void BenchmarkCluster::SendHeartbeat(std::size_t machine) {
+  MeasureStep([&] { HandleHeartbeat(machine); });
 }
 
-void FleetOf::Hear(std::size_t machine) {
-  magpie::Heartbeat& r = reports_[machine];
-  ++r.sequence;
-  const HeartbeatResponse reply = core_->OnHeartbeat(r, now_);
-  r.token = std::max(r.token, reply.token);
+void BenchmarkCluster::HandleHeartbeat(std::size_t machine) {
+  magpie::Heartbeat& heartbeat = heartbeats_[machine];
+  ++heartbeat.sequence;
+  const HeartbeatResponse reply = core_->OnHeartbeat(heartbeat, now_);
+  heartbeat.token = std::max(heartbeat.token, reply.token);
 }
 
-void FleetOf::ReportEnd(std::size_t machine) {
-  for (TaskStatus& t : reports_[machine].tasks)
-    if (t.state != TaskState::kEnded) {
-      t.state = TaskState::kEnded;
-      t.reason = ExitReason::kDone;
+void BenchmarkCluster::ReportTaskEnd(std::size_t machine) {
+  for (TaskStatus& task_status : heartbeats_[machine].tasks)
+    if (task_status.state != TaskState::kEnded) {
+      task_status.state = TaskState::kEnded;
+      task_status.reason = ExitReason::kDone;
       break;
     }
-  Heartbeat(machine);
+  SendHeartbeat(machine);
 }
 
-void FleetOf::Submit(std::uint32_t tasks) {
-  core_->LoadJob(Spec("j-9" + Number(++jobs_), tasks), false, {++stamp_});
+void BenchmarkCluster::SubmitJob(std::uint32_t tasks) {
+  core_->LoadJob(MakeSpec("j-9" + ZeroPadded(++submitted_jobs_), tasks), false, {++last_revision_});
 }
 
-void FleetOf::Renew() {
-  reports_ = first_;
-  dead_ = 0;
+void BenchmarkCluster::Restore() {
+  heartbeats_ = initial_heartbeats_;
+  stopped_machines_ = 0;
   TakeOver();
 }
 
-void FleetOf::Pass(Seconds time) {
+void BenchmarkCluster::AdvanceTime(Seconds time) {
   now_ = now_ + time;
-  wall_.value += time.value;
-  due_ += static_cast<double>(reports_.size()) * time.value / kReport.value;
-  for (; due_ >= 1; --due_) {
-    if (next_ >= dead_) Hear(next_);
-    next_ = (next_ + 1) % reports_.size();
+  wall_time_.value += time.value;
+  due_heartbeats_ +=
+      static_cast<double>(heartbeats_.size()) * time.value / kHeartbeatInterval.value;
+  for (; due_heartbeats_ >= 1; --due_heartbeats_) {
+    if (next_machine_ >= stopped_machines_) HandleHeartbeat(next_machine_);
+    next_machine_ = (next_machine_ + 1) % heartbeats_.size();
   }
 }
 
-void FleetOf::Die(std::size_t machines) {
-  dead_ = machines;
-  next_ = machines;
-  constexpr int kSteps = 48;  // of a quarter of a second
-  for (int i = 0; i < kSteps; ++i) Pass({0.25});
+void BenchmarkCluster::StopMachines(std::size_t machines) {
+  stopped_machines_ = machines;
+  next_machine_ = machines;
+  constexpr int kSteps = 48;  // 12 s
+  for (int i = 0; i < kSteps; ++i) AdvanceTime({0.25});
 }
 
-Seconds FleetOf::GiveUp() {
-  const Instant from = now_;
-  constexpr int kSteps = 40000;  // far more than it takes
-  for (int step = 0; core_->GetStatus().machines_up + dead_ > reports_.size() && step < kSteps;
+Seconds BenchmarkCluster::RecoverFromLoss() {
+  const Instant start = now_;
+  constexpr int kMaxSteps = 40000;  // bound on a run that does not recover
+  for (int step = 0;
+       core_->GetStatus().machines_up + stopped_machines_ > heartbeats_.size() && step < kMaxSteps;
        ++step) {
-    Pass({0.25});
-    Count([this] {
-      Probe();
-      core_->Tick(now_, wall_);
-      CallCloud();
+    AdvanceTime({0.25});
+    MeasureStep([this] {
+      AnswerProbes();
+      core_->Tick(now_, wall_time_);
+      AnswerCloudCalls();
     });
   }
   Tick();
-  return now_ - from;
+  return now_ - start;
 }
 
-void FleetOf::Probe() {
+void BenchmarkCluster::AnswerProbes() {
   for (auto probe = core_->NextProbe(now_); probe; probe = core_->NextProbe(now_)) {
     const auto i = static_cast<std::size_t>(std::stoul(probe->machine.value.substr(3)));
-    const bool dead = i < dead_;
-    if (!dead) ++reports_[i].sequence;
+    const bool stopped = i < stopped_machines_;
+    if (!stopped) ++heartbeats_[i].sequence;
     core_->OnDirectCommandResult(*probe,
-                                 dead ? DeliveryStatus::kNotSent : DeliveryStatus::kAnswered,
-                                 dead ? std::nullopt : std::optional(reports_[i]), now_);
+                                 stopped ? DeliveryStatus::kNotSent : DeliveryStatus::kAnswered,
+                                 stopped ? std::nullopt : std::optional(heartbeats_[i]), now_);
   }
 }
 
-void FleetOf::CallCloud() {
+void BenchmarkCluster::AnswerCloudCalls() {
   while (auto call = core_->NextCloudCall(now_)) {
     if (call->kind == CloudCall::Kind::kRelease) core_->OnReleased(*call, now_);
     if (call->kind == CloudCall::Kind::kList) core_->OnListFailed(now_);
--- a/bench/cluster_builder.h
+++ b/bench/cluster_builder.h
@@ -1,5 +1,5 @@
-// A synthetic fleet for the benchmark of the core: machines with tasks on them,
-// as a takeover finds them, without sockets, store or cloud.
+// A synthetic cluster for the benchmark of the scheduler core: machines that run tasks, as a new
+// leader finds them at takeover, without sockets, key-value store or cloud.
 #pragma once
 
 #include <cstdint>
@@ -11,62 +11,62 @@
 
 namespace magpie::bench {
 
-constexpr std::uint32_t kTasksEach = 4;
+constexpr std::uint32_t kTasksPerMachine = 4;
 
-class FleetOf {
+class BenchmarkCluster {
  public:
-  // Leads a fleet of that many machines, each with kTasksEach tasks that run and
-  // room for one more.
-  explicit FleetOf(std::uint32_t machines);
+  // Takes over a cluster of `machines` machines. Each runs kTasksPerMachine tasks and has free
+  // capacity for one more.
+  explicit BenchmarkCluster(std::uint32_t machines);
 
-  void Drop() { core_.reset(); }
-  // Builds a scheduler from the records and the first reports.
+  void DropCore() { core_.reset(); }
+  // Builds a scheduler from the records and the first heartbeats.
   void TakeOver();
-  // The fleet as it was at first.
-  void Renew();
-  // The machine's next report, and the scheduler's answer to it.
-  void Heartbeat(std::size_t machine);
-  // The same with one of its tasks done.
-  void ReportEnd(std::size_t machine);
-  // A new job of that many tasks.
-  void Submit(std::uint32_t tasks);
-  // Time passes; the machines due report meanwhile, in turn.
-  void Pass(Seconds time);
-  // The first so many machines die: the others report on until they are missed.
-  void Die(std::size_t machines);
-  // Their probes fail, they are given up and returned, and their tasks are
-  // placed again, while the others report on. How long that took of their time.
-  Seconds GiveUp();
+  // Restores the initial state of the cluster and takes over again.
+  void Restore();
+  // Passes the machine's next heartbeat to the scheduler and applies the response.
+  void SendHeartbeat(std::size_t machine);
+  // Sends a heartbeat in which one more of the machine's tasks has ended.
+  void ReportTaskEnd(std::size_t machine);
+  void SubmitJob(std::uint32_t tasks);
+  // Advances the clock; machines whose heartbeats are due send them, in turn.
+  void AdvanceTime(Seconds time);
+  // Stops the first `machines` machines; the others send heartbeats for 12 s, until the stopped
+  // ones are overdue.
+  void StopMachines(std::size_t machines);
+  // Runs until the scheduler has probed and released the stopped machines and placed their tasks
+  // again, while the others send heartbeats. Returns the virtual time taken.
+  Seconds RecoverFromLoss();
   void Tick();
-  // Time spent in the scheduler for the steps above, but for what passes between.
-  Seconds spent() const { return spent_; }
-  void ResetSpent() { spent_ = {}; }
+  // Wall time spent in the scheduler by these steps. SubmitJob and AdvanceTime are not counted.
+  Seconds scheduler_time() const { return scheduler_time_; }
+  void ResetSchedulerTime() { scheduler_time_ = {}; }
 
   bool has_core() const { return core_ != nullptr; }
   Scheduler& core() { return *core_; }
-  std::size_t size() const { return reports_.size(); }
+  std::size_t size() const { return heartbeats_.size(); }
 
  private:
-  void Load();
-  void Hear(std::size_t machine);
-  void Probe();
-  void CallCloud();
-  JobSpec Spec(const std::string& id, std::uint32_t tasks) const;
+  void LoadRecords();
+  void HandleHeartbeat(std::size_t machine);
+  void AnswerProbes();
+  void AnswerCloudCalls();
+  JobSpec MakeSpec(const std::string& id, std::uint32_t tasks) const;
 
   template <typename Step>
-  void Count(Step step);
+  void MeasureStep(Step step);
 
   std::unique_ptr<Scheduler> core_;
-  Seconds spent_;
-  std::vector<magpie::Heartbeat> first_;
-  std::vector<magpie::Heartbeat> reports_;
+  Seconds scheduler_time_;
+  std::vector<magpie::Heartbeat> initial_heartbeats_;
+  std::vector<magpie::Heartbeat> heartbeats_;
   Instant now_{1000};
-  WallTime wall_{1000};
-  std::uint64_t stamp_ = 100;
-  std::size_t dead_ = 0;  // the first so many
-  std::size_t next_ = 0;  // whose report is due
-  double due_ = 0;        // reports that are due
-  std::uint32_t jobs_ = 0;
+  WallTime wall_time_{1000};
+  std::uint64_t last_revision_ = 100;
+  std::size_t stopped_machines_ = 0;  // the first ones of heartbeats_
+  std::size_t next_machine_ = 0;      // the next one to send a heartbeat
+  double due_heartbeats_ = 0;         // with the fraction of the next one
+  std::uint32_t submitted_jobs_ = 0;
 };
 
 }  // namespace magpie::bench
--- a/bench/scheduler_benchmark.cc
+++ b/bench/scheduler_benchmark.cc
@@ -1,5 +1,5 @@
-// How the cost of the core grows with machines: time for one step, and the heap
-// that the scheduler holds. Times are of this machine alone.
+// Measures how the cost of the scheduler core grows with the number of machines: the time of one
+// step and the heap that the scheduler uses. Times depend on the machine that runs the benchmark.
 #include <benchmark/benchmark.h>
 #include <malloc.h>
 
@@ -8,111 +8,112 @@
 namespace magpie::bench {
 namespace {
 
-double Looks(FleetOf& fleet) {
-  if (!fleet.has_core()) return 0;
-  const SchedulerStatus status = fleet.core().GetStatus();
+double InspectedCount(BenchmarkCluster& cluster) {
+  if (!cluster.has_core()) return 0;
+  const SchedulerStatus status = cluster.core().GetStatus();
   return static_cast<double>(status.machines_inspected + status.candidates_evaluated);
 }
 
-// Runs one step a time, each after a preparation that is not counted, and tells
-// what heap the scheduler holds in the end and how many machines and places a
-// step looked at: time grows with cache misses too, this with the work alone.
+// Times one step per iteration, without its preparation. Also reports the scheduler's heap at the
+// end and the machines and candidates inspected per step, which, unlike time, do not grow with
+// cache misses.
 template <typename Prepare, typename Step>
-void Measure(benchmark::State& state, FleetOf& fleet, Prepare prepare, Step step) {
-  double looks = 0;
+void Measure(benchmark::State& state, BenchmarkCluster& cluster, Prepare prepare, Step step) {
+  double inspected = 0;
   for (auto _ : state) {
     prepare();
-    const double before = Looks(fleet);
-    fleet.ResetSpent();
+    const double before = InspectedCount(cluster);
+    cluster.ResetSchedulerTime();
     step();
-    looks += Looks(fleet) - before;
-    state.SetIterationTime(fleet.spent().value);
+    inspected += InspectedCount(cluster) - before;
+    state.SetIterationTime(cluster.scheduler_time().value);
   }
-  state.counters["looks"] = looks / static_cast<double>(state.iterations());
-  const std::size_t with = mallinfo2().uordblks;
-  fleet.Drop();
-  state.counters["heap_mb"] = static_cast<double>(with - mallinfo2().uordblks) / 1e6;
+  state.counters["looks"] = inspected / static_cast<double>(state.iterations());
+  const std::size_t heap_with_core = mallinfo2().uordblks;
+  cluster.DropCore();
+  state.counters["heap_mb"] = static_cast<double>(heap_with_core - mallinfo2().uordblks) / 1e6;
 }
 
-std::uint32_t Machines(const benchmark::State& state) {
+std::uint32_t MachineCount(const benchmark::State& state) {
   return static_cast<std::uint32_t>(state.range(0));
 }
 
 void UnchangedReport(benchmark::State& state) {
-  FleetOf fleet(Machines(state));
+  BenchmarkCluster cluster(MachineCount(state));
   std::size_t next = 0;
   Measure(
-      state, fleet, [&] { next = (next + 7919) % fleet.size(); }, [&] { fleet.Heartbeat(next); });
+      state, cluster, [&] { next = (next + 7919) % cluster.size(); },
+      [&] { cluster.SendHeartbeat(next); });
 }
 
 void ReportWithOneEnd(benchmark::State& state) {
-  FleetOf fleet(Machines(state));
+  BenchmarkCluster cluster(MachineCount(state));
   std::size_t next = 0;
-  std::size_t ends = 0;
+  std::size_t machines_with_end = 0;
   Measure(
-      state, fleet,
+      state, cluster,
       [&] {
-        if (++ends > fleet.size()) {  // all have had an end
-          fleet.Renew();
-          ends = 1;
+        if (++machines_with_end > cluster.size()) {  // a task of every machine has ended
+          cluster.Restore();
+          machines_with_end = 1;
         }
-        next = (next + 7919) % fleet.size();
+        next = (next + 7919) % cluster.size();
       },
-      [&] { fleet.ReportEnd(next); });
+      [&] { cluster.ReportTaskEnd(next); });
 }
 
 void QuietTick(benchmark::State& state) {
-  FleetOf fleet(Machines(state));
-  // Until all have reported again, and so are known to have seen the token.
+  BenchmarkCluster cluster(MachineCount(state));
+  // Lets every machine send another heartbeat, which confirms the fencing token to the scheduler.
   for (int i = 0; i < 60; ++i) {
-    fleet.Pass({0.25});
-    fleet.Tick();
+    cluster.AdvanceTime({0.25});
+    cluster.Tick();
   }
-  Measure(state, fleet, [&] { fleet.Pass({0.25}); }, [&] { fleet.Tick(); });
+  Measure(state, cluster, [&] { cluster.AdvanceTime({0.25}); }, [&] { cluster.Tick(); });
 }
 
 void TickWithAJobOf100(benchmark::State& state) {
-  FleetOf fleet(Machines(state));
+  BenchmarkCluster cluster(MachineCount(state));
   Measure(
-      state, fleet,
+      state, cluster,
       [&] {
-        fleet.Renew();
-        fleet.Submit(100);
+        cluster.Restore();
+        cluster.SubmitJob(100);
       },
-      [&] { fleet.Tick(); });
+      [&] { cluster.Tick(); });
 }
 
 void LossOfATenth(benchmark::State& state) {
-  FleetOf fleet(Machines(state));
-  // Finding so many takes longer, as probes are few at a time, and each second of
-  // it costs more: the two are told apart.
-  Seconds lasted;
+  BenchmarkCluster cluster(MachineCount(state));
+  // With more machines, recovery takes longer, because few probes run at a time, and each second of
+  // it costs more. The counter lasts_s separates the two effects.
+  Seconds recovery_time;
   Measure(
-      state, fleet,
+      state, cluster,
       [&] {
-        fleet.Renew();
-        fleet.Die(fleet.size() / 10);
+        cluster.Restore();
+        cluster.StopMachines(cluster.size() / 10);
       },
-      [&] { lasted = lasted + fleet.GiveUp(); });
-  state.counters["lasts_s"] = lasted.value / static_cast<double>(state.iterations());
+      [&] { recovery_time = recovery_time + cluster.RecoverFromLoss(); });
+  state.counters["lasts_s"] = recovery_time.value / static_cast<double>(state.iterations());
 }
 
 void TakeOver(benchmark::State& state) {
-  FleetOf fleet(Machines(state));
-  Measure(state, fleet, [&] { fleet.Drop(); }, [&] { fleet.TakeOver(); });
+  BenchmarkCluster cluster(MachineCount(state));
+  Measure(state, cluster, [&] { cluster.DropCore(); }, [&] { cluster.TakeOver(); });
 }
 
-void Sizes(benchmark::internal::Benchmark* b) {
-  b->UseManualTime()->ArgName("machines")->Unit(benchmark::kMicrosecond);
-  for (const int machines : {500, 2000, 8000, 32000}) b->Arg(machines);
+void SetMachineCounts(benchmark::internal::Benchmark* family) {
+  family->UseManualTime()->ArgName("machines")->Unit(benchmark::kMicrosecond);
+  for (const int machines : {500, 2000, 8000, 32000}) family->Arg(machines);
 }
 
-BENCHMARK(UnchangedReport)->Apply(Sizes);
-BENCHMARK(ReportWithOneEnd)->Apply(Sizes);
-BENCHMARK(QuietTick)->Apply(Sizes)->Iterations(200);
-BENCHMARK(TickWithAJobOf100)->Apply(Sizes);
-BENCHMARK(LossOfATenth)->Apply(Sizes)->Iterations(3);
-BENCHMARK(TakeOver)->Apply(Sizes)->Iterations(3);
+BENCHMARK(UnchangedReport)->Apply(SetMachineCounts);
+BENCHMARK(ReportWithOneEnd)->Apply(SetMachineCounts);
+BENCHMARK(QuietTick)->Apply(SetMachineCounts)->Iterations(200);
+BENCHMARK(TickWithAJobOf100)->Apply(SetMachineCounts);
+BENCHMARK(LossOfATenth)->Apply(SetMachineCounts)->Iterations(3);
+BENCHMARK(TakeOver)->Apply(SetMachineCounts)->Iterations(3);
 
 }  // namespace
 }  // namespace magpie::bench
--- a/tests/decision_digest.h
+++ b/tests/decision_digest.h
@@ -1,12 +1,12 @@
-// A digest of what controllers let others see: transactions as they are sent to the state
-// service, commands to workers, answers to heartbeats, calls to the cloud, answers to users and
-// messages between controllers. Each is a line of text in wire form, with its virtual time, and
-// the lines are hashed in turn. A change that must not alter any decision leaves every digest of
-// the seeded worlds as it was (tools/same-decisions). Recording draws nothing and waits for
-// nothing, so a world behaves the same with it and without it.
+// A digest of the externally visible decisions of controllers: transactions sent to the key-value
+// store, commands to workers, responses to heartbeats, calls to the cloud, responses to users and
+// messages between controllers. Each is a line of text in wire format with its virtual time; the
+// lines are hashed in order. A change that must not alter any decision leaves the digest of every
+// seeded scenario unchanged (tools/same-decisions). Recording uses no random numbers and does not
+// block, so it does not affect a scenario.
 #pragma once
 
-// As in model/id_hash.h.
+// Same definition as in model/id_hash.h.
 #ifndef XXH_INLINE_ALL
 #define XXH_INLINE_ALL
 #endif
@@ -39,10 +39,10 @@
   Instant at;          // virtual time
   std::string sender;  // the controller
   std::string receiver;
-  std::string body;  // in wire form
+  std::string body;  // in wire format
 };
 
-// The words of traces; they stay as they are when types are renamed.
+// These texts are part of digests and traces, so they must not change when types are renamed.
 inline const char* ToText(DecisionKind kind) {
   switch (kind) {
     case DecisionKind::kTransaction:
@@ -61,11 +61,11 @@
   return "unknown";
 }
 
-// The shortest text that tells this time from all others.
+// The shortest text that identifies this time exactly.
 inline std::string ToText(Instant at) {
   std::array<char, 32> text{};
-  const auto end = std::to_chars(text.data(), text.data() + text.size(), at.value);
-  return {text.data(), end.ptr};
+  const auto result = std::to_chars(text.data(), text.data() + text.size(), at.value);
+  return {text.data(), result.ptr};
 }
 
 inline std::string ToText(const Decision& decision) {
@@ -81,7 +81,8 @@
   return line;
 }
 
-// Conditions as [key, stamp], changes as [key, value, lease]; null: dropped, or no lease.
+// Conditions as [key, revision], changes as [key, value, lease]. A null value deletes the key; a
+// null lease means none.
 inline std::string BodyOf(const Transaction& transaction) {
   Json conditions = Json::array();
   for (const Condition& condition : transaction.conditions)
@@ -121,7 +122,7 @@
 
 class DecisionDigest {
  public:
-  // With a trace, each decision is also printed there as a line.
+  // If `trace` is set, each decision is also printed to it as a line.
   explicit DecisionDigest(std::ostream* trace = nullptr) : trace_(trace) {}
 
   void Add(const Decision& decision) {
--- a/tests/decision_digest_main.cc
+++ b/tests/decision_digest_main.cc
@@ -1,5 +1,5 @@
-// decision_digest: what controllers decide in the seeded worlds, as a digest for each seed. Two
-// builds that decide the same print the same lines (tools/same-decisions compares them).
+// decision_digest: prints a digest of the decisions of controllers in each seeded scenario. Two
+// builds that make the same decisions print the same lines; tools/same-decisions compares them.
 #include <CLI/CLI.hpp>
 #include <array>
 #include <iomanip>
@@ -14,120 +14,124 @@
 namespace magpie::testing {
 namespace {
 
-// As many as the tests play.
+// Number of seeds that the tests run.
 constexpr std::uint64_t kSweepSeeds = 400;
 constexpr std::uint64_t kSteppedSeeds = 300;
 
-struct NamedChurn {
+struct ChurnScenario {
   const char* name;
   bench::ChurnOptions options;
 };
 
-// Tasks of about thirty seconds: one world with room for every write, one whose leader must choose
-// what to write, one with large arrays and slow writes.
-std::array<NamedChurn, 3> Churns() {
+// Churn scenarios with tasks of about 30 s: unlimited writes; a low write limit, so that the leader
+// must prioritize its writes; large jobs with slow writes.
+std::array<ChurnScenario, 3> ChurnScenarios() {
   bench::ChurnOptions steady;
   steady.machines = 300;
-  steady.tasks_each = 10;
-  steady.starts = 100;
-  steady.array = 5;
-  steady.warm_up = {30};
-  steady.measured = {90};
+  steady.tasks_per_machine = 10;
+  steady.starts_per_s = 100;
+  steady.tasks_per_job = 5;
+  steady.warm_up_time = {30};
+  steady.measured_time = {90};
   bench::ChurnOptions few_writes = steady;
   few_writes.writes_per_s = 5;
   bench::ChurnOptions slow_writes = steady;
-  slow_writes.array = 500;
+  slow_writes.tasks_per_job = 500;
   slow_writes.write_latency = {0.5};
   return {{{"steady", steady}, {"few_writes", few_writes}, {"slow_writes", slow_writes}}};
 }
 
-void PrintLine(const std::string& world, const std::string& name, const DecisionDigest& digest) {
-  std::cout << world << " " << name << " " << std::hex << std::setw(16) << std::setfill('0')
+void PrintLine(const std::string& kind, const std::string& name, const DecisionDigest& digest) {
+  std::cout << kind << " " << name << " " << std::hex << std::setw(16) << std::setfill('0')
             << digest.value() << std::dec << std::endl;
 }
 
-void PrintSweep(std::uint64_t from, std::uint64_t to) {
-  for (std::uint64_t seed = from; seed <= to; ++seed) {
+void PrintSweepDigests(std::uint64_t first_seed, std::uint64_t last_seed) {
+  for (std::uint64_t seed = first_seed; seed <= last_seed; ++seed) {
     DecisionDigest digest;
     RunSeed(seed, BrokenBroadcast::kNone, &digest);
     PrintLine("sweep", std::to_string(seed), digest);
   }
 }
 
-void PrintStepped(std::uint64_t from, std::uint64_t to) {
-  for (std::uint64_t seed = from; seed <= to; ++seed) {
+void PrintSteppedDigests(std::uint64_t first_seed, std::uint64_t last_seed) {
+  for (std::uint64_t seed = first_seed; seed <= last_seed; ++seed) {
     DecisionDigest digest;
     RunSteppedSeed(seed, BrokenBroadcast::kNone, &digest);
     PrintLine("stepped", std::to_string(seed), digest);
   }
 }
 
-void PlayChurn(bench::ChurnOptions options, DecisionDigest& digest) {
+void RunChurn(bench::ChurnOptions options, DecisionDigest& digest) {
   options.decisions = &digest;
   bench::ChurnWorld(options).Run();
 }
 
-void PrintChurns() {
-  for (const NamedChurn& churn : Churns()) {
+void PrintChurnDigests() {
+  for (const ChurnScenario& churn : ChurnScenarios()) {
     DecisionDigest digest;
-    PlayChurn(churn.options, digest);
+    RunChurn(churn.options, digest);
     PrintLine("churn", churn.name, digest);
   }
 }
 
-// What is asked for on the command line.
 struct Arguments {
-  std::string only;  // one world; empty: all
-  std::uint64_t from = 1;
-  std::uint64_t to = 0;  // 0: the seeds of the tests
-  std::uint64_t trace = 0;
+  std::string only_kind;  // the only kind of scenario to run; empty: all
+  std::uint64_t first_seed = 1;
+  std::uint64_t last_seed = 0;  // 0: as many seeds as the tests run
+  std::uint64_t trace_sweep = 0;
   std::uint64_t trace_stepped = 0;
   std::string trace_churn;
 };
 
-// Prints every decision of one play; false: no trace was asked for.
+// Prints every decision of the scenario to be traced; returns false if no trace is requested.
 bool PrintTrace(const Arguments& arguments) {
   DecisionDigest digest(&std::cout);
-  if (arguments.trace > 0) {
-    RunSeed(arguments.trace, BrokenBroadcast::kNone, &digest);
+  if (arguments.trace_sweep > 0) {
+    RunSeed(arguments.trace_sweep, BrokenBroadcast::kNone, &digest);
     return true;
   }
   if (arguments.trace_stepped > 0) {
     RunSteppedSeed(arguments.trace_stepped, BrokenBroadcast::kNone, &digest);
     return true;
   }
-  for (const NamedChurn& churn : Churns()) {
+  for (const ChurnScenario& churn : ChurnScenarios()) {
     if (churn.name != arguments.trace_churn) continue;
-    PlayChurn(churn.options, digest);
+    RunChurn(churn.options, digest);
     return true;
   }
   return false;
 }
 
 void PrintDigests(const Arguments& arguments) {
-  const auto wanted = [&](const char* world) {
-    return arguments.only.empty() || arguments.only == world;
+  const auto selected = [&](const char* kind) {
+    return arguments.only_kind.empty() || arguments.only_kind == kind;
   };
-  const auto last = [&](std::uint64_t usual) { return arguments.to > 0 ? arguments.to : usual; };
-  if (wanted("sweep")) PrintSweep(arguments.from, last(kSweepSeeds));
-  if (wanted("stepped")) PrintStepped(arguments.from, last(kSteppedSeeds));
-  if (wanted("churn")) PrintChurns();
+  const auto last_seed_or = [&](std::uint64_t default_seed) {
+    return arguments.last_seed > 0 ? arguments.last_seed : default_seed;
+  };
+  if (selected("sweep")) PrintSweepDigests(arguments.first_seed, last_seed_or(kSweepSeeds));
+  if (selected("stepped")) PrintSteppedDigests(arguments.first_seed, last_seed_or(kSteppedSeeds));
+  if (selected("churn")) PrintChurnDigests();
 }
 
 int Main(int argc, char** argv) {
   std::vector<std::string> churn_names;
-  for (const NamedChurn& churn : Churns()) churn_names.emplace_back(churn.name);
+  for (const ChurnScenario& churn : ChurnScenarios()) churn_names.emplace_back(churn.name);
   Arguments arguments;
-  CLI::App app{"a digest of what controllers decide, for each seed of the tests' worlds"};
-  app.add_option("--only", arguments.only, "one world alone")
+  CLI::App app{"prints a digest of the decisions of controllers for each seeded test scenario"};
+  app.add_option("--only", arguments.only_kind, "run only this kind of scenario")
       ->check(CLI::IsMember({"sweep", "stepped", "churn"}));
-  app.add_option("--from", arguments.from, "the first seed")->check(CLI::PositiveNumber);
-  app.add_option("--to", arguments.to, "the last seed")->check(CLI::PositiveNumber);
-  app.add_option("--trace", arguments.trace, "prints each decision of this seed of the sweep")
+  app.add_option("--from", arguments.first_seed, "first seed")->check(CLI::PositiveNumber);
+  app.add_option("--to", arguments.last_seed, "last seed")->check(CLI::PositiveNumber);
+  app.add_option("--trace", arguments.trace_sweep,
+                 "print each decision of this seed of the fault sweep")
       ->check(CLI::PositiveNumber);
-  app.add_option("--trace-stepped", arguments.trace_stepped, "the same of the stepped sweep")
+  app.add_option("--trace-stepped", arguments.trace_stepped,
+                 "print each decision of this seed of the stepped fault sweep")
       ->check(CLI::PositiveNumber);
-  app.add_option("--trace-churn", arguments.trace_churn, "the same of a churn")
+  app.add_option("--trace-churn", arguments.trace_churn,
+                 "print each decision of this churn scenario")
       ->check(CLI::IsMember(churn_names));
   CLI11_PARSE(app, argc, argv);
   if (!PrintTrace(arguments)) PrintDigests(arguments);
