--- a/tests/regress_test.py
+++ b/tests/regress_test.py
@@ -264,7 +264,7 @@
         # The same controller begins a new term: the jobs of its earlier term still count.
         log += self.served_line("b", red={"done": 0, "withdrawn": 0, "open": 50, "waiting": 0})
         self.assertEqual(bench_report.served_share_by_team(log), {"red": 1.0})
-        self.assertEqual(bench_report.served_share_by_team("no status line"), {})
+        self.assertEqual(bench_report.served_share_by_team("nothing of it"), {})
 
     def test_served_share_by_class_and_truncated_log(self):
         def served(**row):
