--- a/bench/binding_world.cc
+++ b/bench/binding_world.cc
@@ -181,15 +181,15 @@
   result_.steps["worker's report"].bytes += body.size();
   const magpie::Heartbeat parsed = Measure(
       "parse report", [&] { return protocol::HeartbeatFromJson(protocol::ParseObject(body)); });
-  const HeartbeatResponse reply =
+  const HeartbeatResponse response =
       Measure("lock for report", [&] { return core_->OnHeartbeat(parsed, now_); });
-  const std::string answer = Measure("answer report", [&] {
-    return protocol::HeartbeatResponseToJson(reply.token, reply.commands).dump();
+  const std::string response_body = Measure("answer report", [&] {
+    return protocol::HeartbeatResponseToJson(response.token, response.commands).dump();
   });
-  Record(testing::DecisionKind::kHeartbeatAnswer, heartbeat.machine.value, answer);
-  result_.steps["answer report"].bytes += answer.size();
-  workers_[worker]->OnAnswer({agent::Answer::Kind::kOk, reply.token, std::nullopt, reply.commands},
-                             now_);
+  Record(testing::DecisionKind::kHeartbeatAnswer, heartbeat.machine.value, response_body);
+  result_.steps["answer report"].bytes += response_body.size();
+  workers_[worker]->OnAnswer(
+      {agent::Answer::Kind::kOk, response.token, std::nullopt, response.commands}, now_);
 }
 
 std::size_t ChurnSimulation::WorkerIndex(const MachineId& machine) const {
@@ -214,9 +214,9 @@
   result_.steps["make command"].bytes += body.size();
   Record(testing::DecisionKind::kCommand, direct_command.machine.value, body);
   const std::size_t worker = WorkerIndex(direct_command.machine);
-  const agent::DirectCommandReply answer = workers_[worker]->OnDirectCommand(
+  const agent::DirectCommandReply reply = workers_[worker]->OnDirectCommand(
       direct_command.token, direct_command.agent_epoch, direct_command.commands, now_);
-  const std::string text = protocol::HeartbeatToJson(answer.heartbeat).dump();
+  const std::string text = protocol::HeartbeatToJson(reply.heartbeat).dump();
   const magpie::Heartbeat parsed = Measure("parse command's answer", [&] {
     return protocol::HeartbeatFromJson(protocol::ParseObject(text));
   });
--- a/bench/binding_world.h
+++ b/bench/binding_world.h
@@ -30,7 +30,7 @@
   Seconds planning_interval{0.25};
   Seconds warm_up_time{60};
   Seconds measured_time{60};
-  testing::DecisionDigest* decisions = nullptr;  // records all messages of the leader
+  testing::DecisionDigest* decisions = nullptr;  // records the leader's messages, if set
 };
 
 // Measurements of one kind of step.
@@ -115,7 +115,7 @@
   Instant now_{1000};
   std::uint64_t last_revision_ = 100;
   std::uint64_t submitted_jobs_ = 0;
-  double due_tasks_ = 0;  // tasks to submit, with the fraction of the next one
+  double due_tasks_ = 0;  // number of tasks to submit, with a fractional part
 };
 
 }  // namespace magpie::bench
--- a/bench/cluster_builder.cc
+++ b/bench/cluster_builder.cc
@@ -99,8 +99,8 @@
 void BenchmarkCluster::HandleHeartbeat(std::size_t machine) {
   magpie::Heartbeat& heartbeat = heartbeats_[machine];
   ++heartbeat.sequence;
-  const HeartbeatResponse reply = core_->OnHeartbeat(heartbeat, now_);
-  heartbeat.token = std::max(heartbeat.token, reply.token);
+  const HeartbeatResponse response = core_->OnHeartbeat(heartbeat, now_);
+  heartbeat.token = std::max(heartbeat.token, response.token);
 }
 
 void BenchmarkCluster::ReportTaskEnd(std::size_t machine) {
@@ -137,7 +137,7 @@
 void BenchmarkCluster::StopMachines(std::size_t machines) {
   stopped_machines_ = machines;
   next_machine_ = machines;
-  constexpr int kSteps = 48;  // 12 s
+  constexpr int kSteps = 48;  // 12 s in total
   for (int i = 0; i < kSteps; ++i) AdvanceTime({0.25});
 }
 
--- a/bench/cluster_builder.h
+++ b/bench/cluster_builder.h
@@ -63,9 +63,9 @@
   Instant now_{1000};
   WallTime wall_time_{1000};
   std::uint64_t last_revision_ = 100;
-  std::size_t stopped_machines_ = 0;  // the first ones of heartbeats_
-  std::size_t next_machine_ = 0;      // the next one to send a heartbeat
-  double due_heartbeats_ = 0;         // with the fraction of the next one
+  std::size_t stopped_machines_ = 0;  // those with a lower index than this
+  std::size_t next_machine_ = 0;      // index of the next one to send a heartbeat
+  double due_heartbeats_ = 0;         // number, with a fractional part
   std::uint32_t submitted_jobs_ = 0;
 };
 
