--- a/src/load_test/call_on_loop.h
+++ b/src/load_test/call_on_loop.h
@@ -1,4 +1,4 @@
-// Calls into objects that belong to an event loop's thread.
+// Calls into objects that are used only on an event loop's thread.
 #pragma once
 
 #include <future>
@@ -9,7 +9,7 @@
 
 namespace magpie::load_test {
 
-// Runs `call` on the loop's thread and waits for its result. Not to be used from that thread.
+// Runs `call` on the loop's thread and waits for its result. Deadlocks if called on that thread.
 template <typename Call>
 auto CallOnLoop(EventLoop& loop, Call call) {
   std::packaged_task<decltype(call())()> task(std::move(call));
--- a/src/load_test/checker.cc
+++ b/src/load_test/checker.cc
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::uint64_t kKeptPerRule = 5;
-constexpr double kRoundingTolerance = 1e-6;  // sums of decimals are a little off
+constexpr double kRoundingTolerance = 1e-6;  // for sums of floating-point resources
 
 std::string Text(const TaskId& task) { return protocol::TaskIdToText(task); }
 
@@ -70,7 +70,7 @@
   ++starts_;
   const auto found = jobs_.find(event.task.job.value);
   if (found == jobs_.end()) {
-    AddViolation(Rule::kInvented, at, Text(event.task) + " starts, and nobody submitted it");
+    AddViolation(Rule::kInvented, at, Text(event.task) + " starts but was never submitted");
     return;
   }
   Job& job = found->second;
@@ -109,13 +109,13 @@
   }
 }
 
-// Before the task is counted among those of its job.
+// Called before the task is added to the tasks of its job.
 void Checker::CheckPlace(const Job& job, const TaskId& task, const Machine& machine, Instant at) {
   const JobSpec& spec = job.spec;
   const auto wrong = [&](const std::string& what) {
     AddViolation(Rule::kWrongPlace, at, Text(task) + " starts " + what);
   };
-  if (task.index >= spec.tasks) wrong("though its job has fewer tasks");
+  if (task.index >= spec.tasks) wrong("but its job has fewer tasks");
   if (spec.types &&
       std::find(spec.types->begin(), spec.types->end(), machine.type) == spec.types->end())
     wrong("on type " + machine.type);
@@ -126,9 +126,9 @@
   std::uint32_t all = 0;
   for (const auto& [zone, count] : job.tasks_by_zone) all += count;
   if (spec.single_zone && all > tasks_by_zone)
-    wrong("in zone " + machine.zone + " while others of it run in another");
+    wrong("in zone " + machine.zone + " while other tasks of its job run in another zone");
   if (spec.spread && tasks_by_zone >= (spec.tasks + 1) / 2)
-    wrong("in zone " + machine.zone + ", which has half of its job already");
+    wrong("in zone " + machine.zone + ", which already has half of the tasks of its job");
 }
 
 void Checker::CheckQuota(const JobSpec& spec, Instant at) {
@@ -149,7 +149,7 @@
   if (job.final != AnsweredState::kCancelled || at <= *job.final_since + options_.cancel) return;
   AddViolation(Rule::kRanCancelled, at,
                Text(task) + " " + what + " " + std::to_string((at - *job.final_since).value) +
-                   " s after its user was told of the cancellation");
+                   " s after its user received the cancellation");
 }
 
 void Checker::On(const UserAnswered& event, Instant at) {
@@ -159,7 +159,7 @@
                                 event.state == AnsweredState::kCancelled;
   if (found == jobs_.end()) {
     if (says_it_is_known)
-      AddViolation(Rule::kInvented, at, event.job.value + " is known, and nobody submitted it");
+      AddViolation(Rule::kInvented, at, event.job.value + " is known but was never submitted");
     return;
   }
   Job& job = found->second;
@@ -185,26 +185,26 @@
   if (!MostWereAnswered(at)) return;
   job.loss_reported = true;
   AddViolation(Rule::kForgotten, at,
-               "polls for " + event.job.value + " fail, while others are answered");
+               "polls for " + event.job.value + " fail while others are answered");
 }
 
-// What was told before the request was sent may not be taken back by its answer; what was
-// told while it was on its way may be newer.
+// An answer must not contradict a final state that was received before its request was sent. A
+// final state that was received while the request was in flight can be newer than the answer.
 void Checker::CheckFinal(Job& job, const UserAnswered& event, Instant at) {
   const std::string& id = event.job.value;
   if (job.accepted && event.state == AnsweredState::kUnknown)
-    AddViolation(Rule::kForgotten, at, id + " was accepted and is not known");
+    AddViolation(Rule::kForgotten, at, id + " was accepted and is unknown");
   if (job.accepted && event.state == AnsweredState::kRefused)
-    AddViolation(Rule::kForgotten, at, id + " was accepted and is refused when submitted again");
+    AddViolation(Rule::kForgotten, at, id + " was accepted and is rejected when submitted again");
   if (event.state == AnsweredState::kCancelled && !job.cancel_requested)
-    AddViolation(Rule::kWentBack, at, id + " is cancelled, which nobody asked for");
+    AddViolation(Rule::kWentBack, at, id + " is cancelled but no cancellation was requested");
   if (event.state == AnsweredState::kDone && job.completed_count < job.spec.tasks)
     AddViolation(Rule::kNotDone, at,
                  id + " is done with " + std::to_string(job.completed_count) + " of " +
                      std::to_string(job.spec.tasks) + " tasks");
   if (job.final_since && event.state != job.final) {
     const bool overtaken = event.state == AnsweredState::kLive && event.sent <= *job.final_since;
-    if (!overtaken) AddViolation(Rule::kWentBack, at, id + " was over, and is reported otherwise");
+    if (!overtaken) AddViolation(Rule::kWentBack, at, id + " had a final state and is reported in another state");
   }
   const bool final =
       event.state == AnsweredState::kDone || event.state == AnsweredState::kCancelled;
@@ -235,7 +235,7 @@
     for (const auto& [index, places] : job.places)
       if (!places.empty()) CheckCancelled(job, {job.spec.id, index}, "is on a machine", at);
   if (accepted_ > 0 && starts_ == 0)
-    AddViolation(Rule::kNothingRan, at, "no task was started, though jobs were accepted");
+    AddViolation(Rule::kNothingRan, at, "jobs were accepted but no task was started");
 }
 
 }  // namespace magpie::load_test
--- a/src/load_test/checker.h
+++ b/src/load_test/checker.h
@@ -1,7 +1,7 @@
-// Judges a history by the rules of PROTOCOL ("Rules"). It is told events in their order
-// and keeps only what later ones need, so that long runs fit.
+// Checks a history of events against the rules of PROTOCOL ("Rules"). Events are passed in order,
+// and only the state that later checks need is kept, which bounds the memory of long runs.
 //
-// Not safe for threads.
+// Not thread-safe.
 #pragma once
 
 #include <array>
@@ -34,7 +34,7 @@
   kWentBack,
   kNothingRan,
 };
-// Its name in PROTOCOL.
+// The name of the rule in PROTOCOL.
 const char* NameOf(Rule rule);
 
 struct Violation {
@@ -48,18 +48,18 @@
   struct Options {
     std::vector<Team> teams;
     Seconds cancel{60};
-    Seconds lost{90};  // polls that fail for so long while others are answered
+    Seconds lost{90};  // a job is lost if its polls fail for so long while others are answered
   };
 
   explicit Checker(Options options);
 
   void Observe(const Event& event);
-  // The run is over: what must have happened by now is judged.
+  // Ends the run: checks tasks that are still on machines, and that any task was started.
   void Finish(Instant at);
 
-  // The first ones, a few of each rule.
+  // The first few violations of each rule.
   const std::vector<Violation>& violations() const { return violations_; }
-  // How often each rule was broken; none that was not.
+  // The number of violations by rule, for rules that were violated.
   const std::map<Rule, std::uint64_t>& violation_counts() const { return violation_counts_; }
   std::uint64_t starts() const { return starts_; }
 
@@ -77,16 +77,16 @@
     JobSpec spec;
     bool accepted = false;
     std::optional<Instant> cancel_requested;
-    std::optional<Instant> final_since;  // when a user first was
+    std::optional<Instant> final_since;  // when a user first received a final state
     AnsweredState final = AnsweredState::kLive;
-    std::vector<bool> completed;  // by task
+    std::vector<bool> completed;  // by task index
     std::uint32_t completed_count = 0;
-    std::map<std::uint32_t, std::vector<Place>> places;  // tasks on machines
+    std::map<std::uint32_t, std::vector<Place>> places;  // of tasks on machines, by task index
     std::map<std::string, std::uint32_t> tasks_by_zone;
-    std::optional<Instant> failing_since;  // polls, without an answer between
+    std::optional<Instant> failing_since;  // when the first of the latest failed polls was sent
     bool loss_reported = false;
   };
-  // Polls by whole seconds, for as long as they matter.
+  // The polls of one second. Seconds older than `lost_timeout` are dropped.
   struct PollSecond {
     double second = 0;  // a whole number
     std::uint64_t answered = 0;
@@ -113,7 +113,7 @@
   std::map<std::string, Team> teams_;
   std::unordered_map<std::string, Machine> machines_;
   std::unordered_map<std::string, Job> jobs_;
-  std::map<std::string, Resources> use_;  // of teams, by tasks on machines
+  std::map<std::string, Resources> use_;  // by team, of tasks on machines
   std::deque<PollSecond> polls_;
   std::uint64_t starts_ = 0;
   std::uint64_t accepted_ = 0;
--- a/src/load_test/cloud.cc
+++ b/src/load_test/cloud.cc
@@ -10,7 +10,7 @@
 constexpr std::size_t kMaxReleased = 100;
 constexpr std::size_t kMaxListed = 500;
 constexpr Seconds kSnapshotEvery{1};
-constexpr Seconds kDeadStaysListed{30};  // as running
+constexpr Seconds kDeadStaysListed{30};
 
 std::string NameOf(std::uint64_t number) {
   constexpr std::size_t kDigits = 6;
@@ -60,7 +60,7 @@
       options_.most_machines - std::min<std::size_t>(options_.most_machines, machines_.size());
   const std::size_t count = std::min<std::size_t>(request.count, room);
   if (count == 0) {
-    requests_made_.erase(rental);  // the same request may be sent again
+    requests_made_.erase(rental);  // a later request with the same name may succeed
     return {CloudStatus::kNoCapacity, {}};
   }
   for (std::size_t i = 0; i < count; ++i)
@@ -94,7 +94,7 @@
     if (!machine.up && !machine.failed && machine.boots <= now) Boot(machine);
   if (!snapshots_.empty() && now - snapshots_.back().at < kSnapshotEvery) return;
   snapshots_.push_back(Snap(now));
-  // The newest of those that are old enough is what is listed.
+  // The first snapshot is the newest one that is at least `list_lag` old.
   while (snapshots_.size() > 1 && now - snapshots_[1].at >= options_.list_lag)
     snapshots_.pop_front();
 }
@@ -122,7 +122,7 @@
   Advance(now);
   List list;
   const Snapshot& shown = snapshots_.front();
-  // Before there is a list as old as the lag, nothing is listed.
+  // Nothing is listed until a snapshot is `list_lag` old.
   if (now - shown.at < options_.list_lag) return list;
   const std::size_t maximum = std::clamp<std::size_t>(page, 1, kMaxListed);
   for (const ListedMachine& machine : shown.machines) {
--- a/src/load_test/cloud.h
+++ b/src/load_test/cloud.h
@@ -1,5 +1,5 @@
-// The cloud of PROTOCOL as a state machine: rentals by name, machines that boot, a list
-// that lags, capacity and a rate. The caller tells the time. Not safe for threads.
+// The cloud of PROTOCOL as a state machine: idempotent rentals by name, boot times, a delayed
+// machine list, limited capacity and a request rate. The caller passes the time. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -33,7 +33,7 @@
   std::vector<MachineId> machines;
 };
 
-// A machine to be set up or taken down by whoever runs the workers.
+// A machine as it is passed to the hooks that create and remove workers.
 struct CloudMachine {
   MachineId id;
   std::string type;
@@ -45,17 +45,17 @@
  public:
   struct Options {
     std::vector<MachineType> types;
-    std::uint32_t most_machines = 1000;  // that there can be at once
+    std::uint32_t most_machines = 1000;  // at the same time
     double requests_a_second = 10;
     Seconds list_lag{6};
-    double boot_spread = 0.4;  // boots take up to so much less or more than is stated
+    double boot_spread = 0.4;  // a boot takes the stated time, less or more up to this fraction
     std::uint64_t seed = 1;
   };
   struct Hooks {
-    // A machine was rented; gives the address at which its worker will listen.
+    // Called when a machine is rented; returns the address at which its worker will listen.
     std::function<std::string(const CloudMachine&)> rented;
-    std::function<void(const MachineId&)> up;  // it has booted
-    // It is given back, and all on it is gone once this returns.
+    std::function<void(const MachineId&)> up;  // called when the machine has booted
+    // Called when the machine is released. All its tasks have ended when this returns.
     std::function<void(const MachineId&)> released;
   };
 
@@ -63,20 +63,20 @@
 
   bool Admit(Instant now) { return requests_.Take(1, now); }
   const std::vector<MachineType>& types() const { return options_.types; }
-  // A repeated name brings what it brought before.
+  // A repeated name returns the machines of the first request with that name.
   RentalResult Provision(const RentalRequest& request, Instant now);
   CloudStatus Release(const std::vector<MachineId>& machines);
-  // As it was a lag ago, by name, beginning after `after`.
+  // The machines as of `list_lag` ago, ordered by name, from the first name after `after`.
   struct List {
     std::vector<ListedMachine> machines;
     bool more = false;
   };
   List ListAfter(const MachineId& after, std::size_t page, Instant now);
-  // Machines that are there and up from the beginning.
+  // Adds machines that have already booted.
   void Place(const RentalRequest& request, Instant now);
-  // Boots what is due, and keeps the lists that the lag needs.
+  // Boots machines whose boot time has passed, and takes the snapshots that lists are served from.
   void Advance(Instant now);
-  // A machine stopped on its own.
+  // Marks a machine as failed.
   void Fail(const MachineId& machine, Instant now);
 
   std::size_t machines() const { return machines_.size(); }
--- a/src/load_test/cloud_server.h
+++ b/src/load_test/cloud_server.h
@@ -1,4 +1,4 @@
-// The stand-in cloud over HTTP.
+// Serves the simulated cloud over HTTP.
 #pragma once
 
 #include <memory>
@@ -18,10 +18,10 @@
     std::uint64_t released = 0;
   };
 
-  // The cloud must outlive it, and is used on the loop's thread alone from now on.
+  // `cloud` must outlive the server and is used only on the loop's thread from now on.
   CloudServer(EventLoop& loop, Cloud& cloud);
 
-  // None: it can't listen.
+  // Returns no address if it cannot listen.
   std::optional<Address> Serve();
   const Counts& counts() const { return counts_; }
   const Traffic& traffic() const { return traffic_; }
--- a/src/load_test/codec.cc
+++ b/src/load_test/codec.cc
@@ -197,7 +197,7 @@
 
 Json JobToUser(const JobSpec& spec) {
   Json body = protocol::JobToRecord(spec);
-  body.erase("at");  // when it was submitted is the controllers' to note
+  body.erase("at");  // controllers set the time of submission
   return body;
 }
 
--- a/src/load_test/codec.h
+++ b/src/load_test/codec.h
@@ -1,6 +1,6 @@
-// The other side of the protocol's JSON: what the key-value service and the cloud read and
-// answer, and what users read. The wire's names that wire/codec does not know are known
-// here alone. What does not hold raises wire::InvalidMessage.
+// JSON of the peers of controllers: requests and responses of the key-value service and the cloud,
+// and responses to workers and users. Wire names that protocol/codec does not have are defined only
+// here. Malformed input throws protocol::InvalidMessage.
 #pragma once
 
 #include <optional>
@@ -18,13 +18,13 @@
 
 using protocol::Json;
 
-// --- any side
-// The value of a field of a query ("/kv?under=c/&page=5"); none: it is not there.
+// --- Common
+// The value of a field of a query such as "/kv?under=c/&page=5", if the field is present.
 std::optional<std::string> QueryField(const std::string& target, std::string_view field);
 std::optional<std::uint64_t> QueryCount(const std::string& target, std::string_view field);
 std::string PathOf(const std::string& target);
 
-// --- the key-value service
+// --- Key-value service
 Transaction TransactionFromJson(const Json& body);
 Seconds LeaseLifeFromJson(const Json& body);
 Json ToJson(const StateEntry& entry);
@@ -34,13 +34,13 @@
 Json LeaseToJson(LeaseId lease);
 Json TickToJson(Revision tick);
 
-// --- the cloud
+// --- Cloud
 RentalRequest RentalFromJson(const Json& body);
 Json TypesToJson(const std::vector<MachineType>& types);
 Json MachinesToJson(const std::vector<ListedMachine>& machines, bool more);
 
-// --- workers
-// What a controller answered to a report.
+// --- Workers
+// Parses a controller's response to a heartbeat.
 agent::Answer AnswerFromReply(int status, const std::string& body);
 struct DirectCommands {
   std::optional<FencingToken> token;
@@ -49,9 +49,9 @@
 };
 DirectCommands DirectFromJson(const Json& body);
 
-// --- users
+// --- Users
 Json JobToUser(const JobSpec& spec);
-// What an answer says of a job; anything that is no answer by the protocol is none.
+// The job state in a response. A response that violates the protocol counts as no answer.
 AnsweredState StateFromAnswer(int status, const std::string& body);
 
 }  // namespace magpie::load_test
--- a/src/load_test/controller_group.h
+++ b/src/load_test/controller_group.h
@@ -1,4 +1,4 @@
-// The controller processes of a run: started, killed, restarted and measured together.
+// Starts, kills, restarts and measures the controller processes of a run.
 #pragma once
 
 #include <memory>
@@ -10,11 +10,11 @@
 
 namespace magpie::load_test {
 
-// What the controllers used since the run began.
+// Processor time and memory of the controllers since the start of the run.
 struct ControllerUsage {
   double leader_cpu_s = 0;
   double follower_cpu_s = 0;
-  double leader_s = 0;  // how long there was a leader
+  double leader_s = 0;  // time with a leader
   double leader_peak_mb = 0;
   double follower_peak_mb = 0;
 };
@@ -23,18 +23,19 @@
  public:
   void Add(ControllerPlan plan, std::unique_ptr<ControllerProcess> process);
 
-  // False: one could not be started.
+  // Returns false if a controller could not be started.
   bool StartAll();
   void KillAll();
-  // Kills the leader, or the first that follows; its index, for Restart. None: there is none.
+  // Kills the leader or the first running follower, and returns its index for Restart, if there is
+  // one.
   std::optional<std::size_t> Kill(const std::string& leader, bool kill_leader);
   void Restart(std::size_t index);
-  // Starts those again that ended without having been killed, and counts them.
+  // Restarts controllers that exited without being killed, and counts them.
   void RestartUnexpectedlyEnded();
 
-  // From now on the time with a leader counts.
+  // Sets the start of the first interval that Measure accounts for.
   void BeginMeasuring(Instant now) { last_measured_ = now; }
-  // Adds what each has used since the last call to the usage of the leader or the followers.
+  // Adds each controller's usage since the last call to that of the leader or of the followers.
   void Measure(const std::string& leader, Instant now);
   const ControllerUsage& usage() const { return usage_; }
 
@@ -47,7 +48,7 @@
   struct Member {
     ControllerPlan plan;
     std::unique_ptr<ControllerProcess> process;
-    double cpu_s = 0;  // as last measured
+    double cpu_s = 0;  // at the last call of Measure
     bool expected_to_run = true;
   };
 
--- a/src/load_test/controller_process.cc
+++ b/src/load_test/controller_process.cc
@@ -28,7 +28,7 @@
   return address.host + ":" + std::to_string(address.port);
 }
 
-// A field of /proc/<pid>/status in its own unit; 0 when it is not there.
+// A field of /proc/<pid>/status in the unit of that file; 0 if it is missing.
 double StatusField(const std::string& status, const std::string& name) {
   const auto at = status.find("\n" + name + ":");
   if (at == std::string::npos) return 0;
@@ -47,12 +47,12 @@
 std::optional<ProcessUsage> UsageOf(pid_t pid) {
   const std::string folder = "/proc/" + std::to_string(pid);
   const std::string stat = ReadFile(folder + "/stat");
-  // The name in parentheses may hold anything; the numbers come after it.
+  // The process name in parentheses can contain any character; the numbers follow it.
   const auto name_end = stat.rfind(')');
   if (name_end == std::string::npos) return std::nullopt;
   std::istringstream fields(stat.substr(name_end + 2));
   std::string skipped;
-  constexpr int kBeforeTimes = 11;  // state to the major faults of children
+  constexpr int kBeforeTimes = 11;  // from the state to the major faults of children
   for (int i = 0; i < kBeforeTimes; ++i) fields >> skipped;
   double user = 0;
   double system = 0;
--- a/src/load_test/controller_process.h
+++ b/src/load_test/controller_process.h
@@ -1,4 +1,4 @@
-// One controller of a run: the deployed program with a settings file of its own.
+// One controller of a run: the deployed program with its own settings file.
 #pragma once
 
 #include <sys/types.h>
@@ -12,18 +12,17 @@
 
 namespace magpie::load_test {
 
-// The processor time and memory of a process, as the kernel tells them.
+// Processor time and memory of a process, from /proc.
 struct ProcessUsage {
   double cpu_s = 0;
   double resident_mb = 0;
-  double peak_mb = 0;  // of what was resident
+  double peak_mb = 0;  // peak of the resident memory
 };
-// None: there is no such process.
+// Returns nothing if there is no such process.
 std::optional<ProcessUsage> UsageOf(pid_t pid);
 
-// A port of loopback that is kept for a process: whoever asks for any port gets another, but a
-// server that allows the reuse of addresses, as controllers do, can listen there, and again
-// after it was killed.
+// Reserves a loopback port for a process. Sockets that request any free port get another one, but a
+// server that sets SO_REUSEADDR, as controllers do, can listen on it, also again after it was killed.
 class ReservedPort {
  public:
   ReservedPort();
@@ -46,11 +45,11 @@
   Address cloud;
 };
 
-// The settings file of one of them, as DEPLOY describes it.
+// The settings file of the controller `all[which]`, in the format of DEPLOY.
 std::string SettingsText(const Scenario& scenario, const std::vector<ControllerPlan>& all,
                          std::size_t which);
 
-// A child process with its errors in a file. It is killed, if need be, when this goes.
+// A child process whose standard error goes to a file. The destructor kills a running process.
 class ControllerProcess {
  public:
   ControllerProcess(std::vector<std::string> command, std::string log);
@@ -58,15 +57,15 @@
   ControllerProcess(const ControllerProcess&) = delete;
   ControllerProcess& operator=(const ControllerProcess&) = delete;
 
-  // False: it could not be started.
+  // Returns false if the process could not be started.
   bool Start();
   void Kill();
-  // Whether it is still there; takes note of its end.
+  // Whether the process is running. Reaps it if it has exited.
   bool running();
   pid_t pid() const { return pid_; }
-  // Of this and all earlier starts.
+  // The sum over this start and all earlier ones.
   double cpu_s() const;
-  // The last line that it wrote, after a colon; empty when it wrote none.
+  // ": " and the last line of the log; empty if the log is empty.
   std::string last_words() const;
 
  private:
--- a/src/load_test/event_loop.cc
+++ b/src/load_test/event_loop.cc
@@ -33,9 +33,9 @@
 using Executor = asio::io_context::executor_type;
 
 constexpr unsigned kHttp11 = 11;
-constexpr std::uint64_t kMaxBody = 8UL * 1024 * 1024;  // answers to watches have no limit
+constexpr std::uint64_t kMaxBody = 8UL * 1024 * 1024;  // answers to watches have no limit in PROTOCOL
 constexpr Seconds kIdle{600};                          // of a connection between requests
-constexpr Seconds kLongestReply{90};                   // then a connection without one is closed
+constexpr Seconds kLongestReply{90};                   // of a handler; then the connection is closed
 
 std::chrono::nanoseconds DurationOf(Seconds s) {
   return std::chrono::duration_cast<std::chrono::nanoseconds>(
@@ -80,7 +80,7 @@
   std::shared_ptr<State> state_;
 };
 
-// A reply that may come while the connection waits for it, or later.
+// A reply that the handler gives before it returns, or later.
 struct PendingReply {
   explicit PendingReply(const asio::any_io_executor& executor) : wake(executor) {
     wake.expires_after(DurationOf(kLongestReply));
@@ -143,7 +143,7 @@
       while (!state->closed && co_await Answer(*state, stream, buffer)) {
       }
     } catch (const boost::system::system_error&) {
-      // The other side has gone.
+      // The client closed the connection.
     }
     state->open.erase(&stream.socket());
   }
@@ -157,7 +157,7 @@
     ++state.traffic.messages_in;
     state.traffic.bytes_in += read;
     http::request<http::string_body> request = parser.release();
-    if (state.closed) co_return false;  // nobody is there to answer
+    if (state.closed) co_return false;  // the listener was destroyed
     const bool keep = request.keep_alive();
     const auto pending = std::make_shared<PendingReply>(stream.get_executor());
     state.handler({std::string(request.method_string()), std::string(request.target()),
@@ -221,7 +221,7 @@
     std::atomic<bool> alive{true};
   };
 
-  // Whether the other side has closed the kept connection, or said what was not asked.
+  // Whether the server has closed the persistent connection or sent unrequested bytes.
   static bool Stale(beast::tcp_stream& stream) {
     char byte = 0;
     boost::system::error_code error;
@@ -251,7 +251,7 @@
       state.stream = std::make_shared<beast::tcp_stream>(state.io);
       state.buffer.clear();
     }
-    const std::shared_ptr<beast::tcp_stream> stream = state.stream;  // outlives a Drop
+    const std::shared_ptr<beast::tcp_stream> stream = state.stream;  // keeps the stream alive during CloseStream
     stream->expires_after(DurationOf(timeout));
     if (!stream->socket().is_open()) {
       co_await stream->async_connect(state.endpoint, use_awaitable);
--- a/src/load_test/event_loop.h
+++ b/src/load_test/event_loop.h
@@ -1,8 +1,8 @@
-// One thread that serves and makes many HTTP connections on loopback, with timers.
-// The library (Boost.Asio and Boost.Beast) is known to event_loop.cc alone.
+// An event loop on one thread: HTTP servers and clients on loopback, and timers. Only event_loop.cc
+// includes Boost.Asio and Boost.Beast.
 //
-// Handlers run on the loop's thread and must not block. What a loop gives out is used
-// on its thread, but for Post, Stop and Listen.
+// Handlers run on the loop's thread and must not block. All functions, and the objects that a loop
+// creates, are used only on its thread, except Post, Stop and Listen.
 #pragma once
 
 #include <atomic>
@@ -16,7 +16,7 @@
 
 namespace magpie::load_test {
 
-// Messages and bytes on the wire, heads included, as this side sees them.
+// Messages and bytes on the wire with HTTP headers, in and out as seen by this process.
 struct Traffic {
   std::atomic<std::uint64_t> messages_in{0};
   std::atomic<std::uint64_t> bytes_in{0};
@@ -36,7 +36,7 @@
 };
 
 struct HttpOutcome {
-  bool answered = false;  // false: no connection, or no whole answer in time
+  bool answered = false;  // false if there was no connection or no complete response in time
   int status = 0;
   std::string body;
 };
@@ -48,25 +48,25 @@
   EventLoop(const EventLoop&) = delete;
   EventLoop& operator=(const EventLoop&) = delete;
 
-  // Serves until Stop.
+  // Runs until Stop is called.
   void Run();
   void Stop();
   void Post(std::function<void()> work);
-  // The clock of all loops of this process.
+  // The steady clock that all loops of this process use.
   static Instant Now();
 
-  // Calls once at a time; setting it anew moves it.
+  // Calls back once at the time that was set last.
   class Timer {
    public:
     virtual ~Timer() = default;
     virtual void Set(Instant at) = 0;
   };
   std::unique_ptr<Timer> MakeTimer(std::function<void()> due);
-  // Calls once, as long as the loop runs then.
+  // Calls back once, if the loop is still running then.
   void After(Seconds delay, std::function<void()> due);
 
-  // Answers requests until it is destroyed, which closes all its connections. A reply
-  // may be given later, once at most; without one the caller waits in vain.
+  // Answers requests until it is destroyed, which closes all its connections. A handler replies at
+  // most once, possibly later. Without a reply the connection is closed after a timeout.
   using ReplyTo = std::function<void(HttpReply)>;
   using Handler = std::function<void(const HttpCall&, ReplyTo)>;
   class Listener {
@@ -74,10 +74,10 @@
     virtual ~Listener() = default;
     virtual Address address() const = 0;
   };
-  // Port 0 takes any; null when it can't listen there. Any thread may call it.
+  // Port 0 selects a free port. Returns null if it cannot listen. Thread-safe.
   std::unique_ptr<Listener> Listen(const Address& address, Handler handler, Traffic& traffic);
 
-  // One kept connection with one call at a time. Destroyed, it calls back no more.
+  // A persistent connection with one request at a time. There are no callbacks after destruction.
   class Caller {
    public:
     virtual ~Caller() = default;
--- a/src/load_test/fault_schedule.h
+++ b/src/load_test/fault_schedule.h
@@ -1,4 +1,4 @@
-// The faults of a scenario: each is injected at its time and ends by itself.
+// Injects the faults of a scenario at their times, and ends each after its duration.
 #pragma once
 
 #include <functional>
@@ -16,20 +16,20 @@
 
 class FaultSchedule {
  public:
-  // What faults are injected into. All must outlive the schedule.
+  // The objects that faults are injected into. All must outlive the schedule.
   struct Targets {
     ControllerGroup& controllers;
     LeadershipLog& leadership;
     WorkerPool& workers;
-    EventLoop& services_loop;  // on which the key-value service runs
+    EventLoop& services_loop;  // the loop of the key-value service
     StateServer& state;
   };
 
   explicit FaultSchedule(Targets targets) : targets_(targets) {}
 
-  // Plans the faults of the scenario, counted from this instant.
+  // Schedules the faults at their offsets from `from`.
   void Plan(const std::vector<Fault>& faults, Instant from);
-  // Carries out what is due.
+  // Runs all actions whose time has passed.
   void RunDue(Instant now);
   bool empty() const { return actions_.empty(); }
 
--- a/src/load_test/history.h
+++ b/src/load_test/history.h
@@ -1,5 +1,5 @@
-// What users and workers of a load test saw, in the order in which it happened. All of it
-// is seen in one process, so one steady clock orders it.
+// Events that the users and workers of a load test observe, in their order. All are observed in one
+// process, so one steady clock orders them.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 namespace magpie::load_test {
 
-// A machine is up: its worker begins.
+// A machine has booted and its worker starts.
 struct MachineUp {
   MachineId machine;
   std::string type;
@@ -21,13 +21,13 @@
   bool spot = false;
 };
 
-// A task has its image and takes its place on the machine.
+// A task starts on a machine, after its image was fetched.
 struct TaskBegan {
   MachineId machine;
   TaskId task;
 };
 
-// A task is not on the machine any more.
+// A task is no longer on the machine.
 struct TaskLeft {
   MachineId machine;
   TaskId task;
@@ -39,24 +39,24 @@
   JobSpec spec;
 };
 
-// What an answer says of a job.
+// The state of a job in a response.
 enum class AnsweredState : std::uint8_t {
   kLive,  // queued or running
   kDone,
   kCancelled,
   kUnknown,   // 404
-  kRefused,   // 400 or 422, to a submission
-  kNoAnswer,  // any other status, or none in time
+  kRefused,   // 400 or 422 to a submission
+  kNoAnswer,  // any other status, or no response in time
 };
 
 enum class UserRequest : std::uint8_t { kSubmit, kPoll, kCancel };
 
-// A user's request and the answer to it.
+// A user's request and its response.
 struct UserAnswered {
   JobId job;
   UserRequest request = UserRequest::kPoll;
   AnsweredState state = AnsweredState::kNoAnswer;
-  Instant sent;  // when the request was
+  Instant sent;  // the time of the request
 };
 
 // The first attempt to cancel a job.
--- a/src/load_test/job_ledger.cc
+++ b/src/load_test/job_ledger.cc
@@ -5,11 +5,11 @@
 namespace magpie::load_test {
 namespace {
 
-// A number from 0 to 1 that a task of a job always gets.
+// Maps a task to a number from 0 to 1.
 double DrawFor(const JobId& job, std::uint32_t task) {
-  constexpr std::uint64_t kOdd = 0x9e3779b97f4a7c15;  // spreads neighbouring numbers
+  constexpr std::uint64_t kOdd = 0x9e3779b97f4a7c15;  // odd, from the golden ratio; spreads adjacent numbers
   const std::uint64_t mixed = (std::hash<std::string>()(job.value) + task + 1) * kOdd;
-  constexpr int kKept = 53;  // bits, as many as a double holds
+  constexpr int kKept = 53;  // mantissa bits of a double
   return static_cast<double>(mixed >> (64 - kKept)) / static_cast<double>(1ULL << kKept);
 }
 
--- a/src/load_test/job_ledger.h
+++ b/src/load_test/job_ledger.h
@@ -1,5 +1,5 @@
-// What workers may read of submitted jobs: users upload the descriptions beside the
-// controllers, and the workers fetch them from there.
+// The job descriptions that workers read. Users upload them to a store outside the controllers,
+// from which workers fetch them.
 #pragma once
 
 #include <cstdint>
@@ -14,21 +14,21 @@
 
 namespace magpie::load_test {
 
-// A job as its user submitted it, and how long its tasks really take.
+// A job as its user submitted it, and the actual run time of its tasks.
 struct SubmittedJob {
   JobSpec spec;
-  Seconds run_time;   // of a task in the mean, without the image; 0: until it is stopped
-  double spread = 0;  // by how much of it tasks differ, at most, either way
+  Seconds run_time;   // mean of its tasks, without the image fetch; 0: until stopped
+  double spread = 0;  // maximum deviation of tasks, as a fraction of run_time
 };
 
-// How long the task really takes: the same wherever and however often it runs.
+// The actual run time of a task, the same on every machine and in every attempt.
 Seconds RunTimeOf(const SubmittedJob& job, std::uint32_t task);
 
-// Safe for threads.
+// Thread-safe.
 class JobLedger {
  public:
   void Add(const SubmittedJob& job);
-  // Drops a job that no worker can be asked to start any more.
+  // Removes a job that no worker can be commanded to start any more.
   void Remove(const JobId& id);
   std::optional<SubmittedJob> Find(const JobId& id) const;
 
--- a/src/load_test/latency.cc
+++ b/src/load_test/latency.cc
@@ -10,7 +10,7 @@
 using Axis = bh::axis::regular<double, bh::axis::transform::log>;
 
 constexpr unsigned kBins = 350;
-constexpr double kLeast = 1e-4;  // seconds; with so many bins each is a twentieth wide
+constexpr double kLeast = 1e-4;  // with kBins bins each is 5 % wide
 constexpr double kMost = 3e3;
 
 }  // namespace
--- a/src/load_test/latency.h
+++ b/src/load_test/latency.h
@@ -1,4 +1,4 @@
-// How long things took: quantiles from bins that grow with the value, the worst exactly.
+// Latency statistics: quantiles from logarithmic bins, and the exact maximum.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 
 namespace magpie::load_test {
 
-// Not safe for threads.
+// Not thread-safe.
 class Latency {
  public:
   Latency();
@@ -20,9 +20,9 @@
   void Add(Seconds took);
   std::uint64_t count() const { return count_; }
   Seconds worst() const { return worst_; }
-  // Within a twentieth; 0 when there is nothing.
+  // Within 5 %; 0 without samples.
   Seconds Quantile(double part) const;
-  // Count, median, 99th of a hundred, worst, in seconds.
+  // Count, median, 99th percentile and maximum, in seconds.
   nlohmann::json ToJson() const;
 
  private:
--- a/src/load_test/leadership_log.h
+++ b/src/load_test/leadership_log.h
@@ -1,4 +1,4 @@
-// Who led during a run, since when, and how long work stood still after a leader was killed.
+// The leaders of a run, and the time from each leader's kill to the next epoch and task start.
 #pragma once
 
 #include <mutex>
@@ -12,18 +12,18 @@
 
 namespace magpie::load_test {
 
-// Learns of takeovers by the epochs that leaders write. Safe for threads.
+// Detects takeovers by the epochs that leaders write. Thread-safe.
 class LeadershipLog {
  public:
   // `recorder` must outlive it.
   explicit LeadershipLog(Recorder& recorder) : recorder_(recorder) {}
 
-  // A transaction was committed at this instant.
+  // Called for each committed transaction.
   void OnCommit(const Transaction& transaction, Instant at);
   void NoteLeaderKilled(const std::string& leader, Instant at);
-  // The label of the controller that leads; empty: none did yet.
+  // The label of the leader; empty before the first epoch.
   std::string Leader();
-  // For each leader that was killed, how long until the next epoch and until the next task start.
+  // For each killed leader, the time until the next epoch and until the first task start after it.
   nlohmann::json TakeoversToJson();
 
  private:
@@ -39,7 +39,7 @@
   Recorder& recorder_;
   std::mutex mutex_;
   std::vector<Takeover> takeovers_;
-  std::vector<Takeover> kills_;  // leaders, and when they were killed
+  std::vector<Takeover> kills_;  // killed leaders and the times of their kills
   std::vector<FirstStart> first_starts_;
 };
 
--- a/src/load_test/main.cc
+++ b/src/load_test/main.cc
@@ -1,4 +1,4 @@
-// load_test: runs controllers, as they are deployed, among thousands of simulated workers.
+// load_test: runs deployed controller programs with thousands of simulated workers.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 #include <unistd.h>
@@ -18,7 +18,7 @@
 constexpr int kRunFailed = 1;
 constexpr int kBadInput = 2;
 
-// A line that is written over; nothing where nobody watches.
+// Rewrites one progress line; prints nothing unless standard error is a terminal.
 void ShowProgress(double part, const std::string& words) {
   static const bool watched = isatty(STDERR_FILENO) != 0;
   if (!watched) return;
@@ -38,7 +38,7 @@
   written << result.dump(2) << "\n";
   written.close();
   if (!written) {
-    std::cerr << path.string() << ": can't be written\n";
+    std::cerr << path.string() << ": cannot write the result file\n";
     return kBadInput;
   }
   std::cerr << "\n";
@@ -61,12 +61,12 @@
   std::uint32_t workers = 0;
   double starts = 0;
   double seconds = 60;
-  run->add_option("scenario", file, "the scenario (TOML)")->required();
-  run->add_option("--workers", workers, "simulated workers")->required();
-  run->add_option("--starts", starts, "tasks that users want started a second")->required();
-  run->add_option("--for", seconds, "seconds that are measured");
-  run->add_option("--out", out, "folder for the figures, settings and logs");
-  run->add_option("--binary", binary, "the controllers' program, in place of the scenario's");
+  run->add_option("scenario", file, "scenario file (TOML)")->required();
+  run->add_option("--workers", workers, "number of simulated workers")->required();
+  run->add_option("--starts", starts, "task starts per second that users request")->required();
+  run->add_option("--for", seconds, "seconds to measure, after the warm-up");
+  run->add_option("--out", out, "directory for results, settings and logs");
+  run->add_option("--binary", binary, "controller program, instead of the one in the scenario");
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& e) {
--- a/src/load_test/networked_worker.cc
+++ b/src/load_test/networked_worker.cc
@@ -8,7 +8,7 @@
 namespace magpie::load_test {
 namespace {
 
-constexpr Seconds kMinPause{0.001};  // between two looks at the worker
+constexpr Seconds kMinPause{0.001};  // between two timer callbacks
 
 std::string TextOf(const Address& address) {
   return address.host + ":" + std::to_string(address.port);
@@ -44,7 +44,7 @@
   options.agent.heartbeat_interval = site_.heartbeat_interval;
   options.agent.lease = site_.lease;
   for (const Node& node : site_.nodes) options.agent.nodes.push_back(node.label);
-  // Each begins with another node, as machines do that know the same list.
+  // Workers start at different nodes of the same list.
   const std::size_t number = std::hash<std::string>()(machine_.id.value) + life_;
   std::rotate(options.agent.nodes.begin(),
               options.agent.nodes.begin() +
@@ -88,7 +88,7 @@
 }
 
 void NetworkedWorker::OnRequest(const HttpCall& call, const EventLoop::ReplyTo& reply) {
-  if (silent_ || !worker_) return;  // the caller waits in vain
+  if (silent_ || !worker_) return;  // the request times out
   const Instant now = EventLoop::Now();
   try {
     if (call.target == protocol::kInspectPath) {
--- a/src/load_test/networked_worker.h
+++ b/src/load_test/networked_worker.h
@@ -1,5 +1,5 @@
-// A simulated worker on the network: it reports to controllers over kept connections and
-// listens for direct commands, on the thread of its loop.
+// A simulated worker on the network: sends heartbeats to controllers over persistent connections and
+// serves direct commands, on the thread of its loop.
 #pragma once
 
 #include <cstdint>
@@ -16,44 +16,45 @@
 
 namespace magpie::load_test {
 
-// A controller as workers and users know it.
+// A controller and the address that workers and users send requests to.
 struct Node {
   std::string label;
   Address address;
 };
 
-// What all workers of a run share. The counters are added to by all loops.
+// Settings and counters that all workers of a run share. All loops add to the counters.
 struct WorkerSite {
   std::vector<Node> nodes;
   std::vector<MachineType> types;
   Seconds heartbeat_interval{3};
   Seconds lease{45};
   std::uint64_t seed = 1;
-  // By node: reports and their answers.
+  // Heartbeats and their responses, by node.
   std::vector<std::unique_ptr<Traffic>> heartbeats;
-  // Direct commands and their answers.
+  // Direct commands and their responses.
   Traffic commands;
   std::atomic<std::uint64_t> redirects{0};
-  std::atomic<std::uint64_t> refusals{0};           // direct commands with 409
-  std::atomic<std::uint64_t> failed_heartbeats{0};  // no answer, or another status
+  std::atomic<std::uint64_t> refusals{0};           // direct commands answered with an error
+  std::atomic<std::uint64_t> failed_heartbeats{0};  // no response, or an unexpected status
 };
 
 class NetworkedWorker {
  public:
-  // `site`, `jobs` and `recorder` must outlive it. Any thread may create it; it is used and
-  // destroyed on the loop's.
+  // `context`, `jobs` and `recorder` must outlive the worker. Any thread may create it; it is used
+  // and destroyed on the loop's thread.
   NetworkedWorker(EventLoop& loop, WorkerSite& site, const CloudMachine& machine,
                   const JobLedger& jobs, Recorder& recorder);
 
-  // Where it listens, from the first; none: it can't.
+  // The address where it listens from its creation on; none if it cannot listen.
   std::optional<Address> address() const;
-  // The machine has booted.
+  // Starts the worker after its machine has booted.
   void Begin();
-  // Nothing comes through in either direction.
+  // While unreachable, the worker exchanges no messages in either direction.
   void SetSilent(bool heartbeat_timeout);
-  // The machine has lost its power: all on it is gone, and it is silent for good.
+  // Powers the machine off: its tasks end, and the worker stays unreachable until Restart.
   void Perish();
-  // The machine is up again, without what ran there, but with its numbers and token.
+  // Restarts the machine. Its tasks are lost; agent epoch, sequence number and fencing token are
+  // kept.
   void Restart();
 
  private:
@@ -71,12 +72,12 @@
   const JobLedger& jobs_;
   Recorder& recorder_;
   std::unique_ptr<EventLoop::Listener> listener_;
-  std::unique_ptr<SimulatedWorker> worker_;  // none before it has booted
-  agent::Worker::DurableState memory_;       // kept over a restart
+  std::unique_ptr<SimulatedWorker> worker_;  // null before the boot and while powered off
+  agent::Worker::DurableState memory_;       // kept across restarts
   std::map<std::string, std::unique_ptr<EventLoop::Caller>> callers_;
   std::unique_ptr<EventLoop::Timer> timer_;
-  std::shared_ptr<int> alive_ = std::make_shared<int>(0);  // for calls that come later
-  std::uint64_t life_ = 0;  // grows with each restart, so that old answers are told apart
+  std::shared_ptr<int> alive_ = std::make_shared<int>(0);  // expires at destruction, for delayed callbacks
+  std::uint64_t life_ = 0;  // incremented by PowerOff; responses to earlier incarnations are ignored
   bool silent_ = false;
 };
 
--- a/src/load_test/rate_limit.h
+++ b/src/load_test/rate_limit.h
@@ -1,4 +1,4 @@
-// A rate with bursts worth some seconds of it, as the key-value service and the cloud have.
+// A token bucket whose burst is a number of seconds of its rate.
 #pragma once
 
 #include <algorithm>
@@ -9,11 +9,11 @@
 
 class RateLimit {
  public:
-  // 0 a second: no limit.
+  // A rate of 0 means no limit.
   RateLimit(double a_second, Seconds burst)
       : a_second_(a_second), max_(std::max(1.0, a_second * burst.value)), left_(max_) {}
 
-  // Takes that many if all of them may go now.
+  // Takes `count` tokens if all of them are available, else none.
   bool Take(double count, Instant now) {
     if (a_second_ <= 0) return true;
     left_ = std::min(max_, left_ + a_second_ * std::max(0.0, (now - refilled_).value));
--- a/src/load_test/recorder.cc
+++ b/src/load_test/recorder.cc
@@ -38,7 +38,7 @@
   if (awaited_from_ && !awaited_ && at >= *awaited_from_) awaited_ = at;
   const auto job = jobs_.find(event.task.job.value);
   if (job == jobs_.end() || event.task.index >= job->second.started.size()) return;
-  if (job->second.started[event.task.index]) return;  // it starts once more
+  if (job->second.started[event.task.index]) return;  // a later attempt
   job->second.started[event.task.index] = true;
   if (!measuring_) return;
   const Seconds took = at - job->second.submitted;
--- a/src/load_test/recorder.h
+++ b/src/load_test/recorder.h
@@ -1,5 +1,5 @@
-// Takes down what users and workers see as it happens, has it judged, and keeps the figures
-// that come of it. Safe for threads.
+// Records the events of users and workers, passes them to the checker, and computes statistics.
+// Thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -30,11 +30,11 @@
                    Instant now) override;
   void OnTaskLeft(const MachineId& machine, const TaskId& task, Attempt attempt, bool completed,
                   Instant now) override;
-  // A user was told of an acceptance so long after it first asked.
+  // Adds the time from a user's first submission attempt to the acceptance of the job.
   void NoteAccepted(Seconds took);
-  // Starts are counted from now on.
+  // Drops the latencies recorded so far.
   void BeginMeasuring();
-  // The first start after this instant tells that a leader is at work again.
+  // Awaits the first task start after `from`, which shows that a new leader assigns tasks.
   void AwaitStart(Instant from);
   std::optional<Instant> first_start_since();
 
@@ -44,7 +44,7 @@
   void Finish();
 
   struct Figures {
-    nlohmann::json start_by_class;  // from the first submission to the first start of a task
+    nlohmann::json start_by_class;  // from the first submission to a task's first start
     nlohmann::json start;
     nlohmann::json accept;
     std::uint64_t started = 0;
--- a/src/load_test/results.cc
+++ b/src/load_test/results.cc
@@ -5,7 +5,7 @@
 namespace magpie::load_test {
 namespace {
 
-// What grew from one sample to the other, per second.
+// Rates per second between two samples.
 class Rates {
  public:
   Rates(const Sample& begin, const Sample& end) : seconds_((end.at - begin.at).value) {}
@@ -29,7 +29,7 @@
   double seconds_;
 };
 
-// Why the run failed, one line each.
+// The reasons for which the run failed, one line each.
 nlohmann::json FailuresOf(const Scenario& scenario, const Measurements& measured) {
   nlohmann::json failures = nlohmann::json::array();
   for (const auto& [rule, count] : measured.figures.violation_counts)
--- a/src/load_test/results.h
+++ b/src/load_test/results.h
@@ -1,4 +1,4 @@
-// What a run measured, and its result file.
+// The measurements of a run, and its result file.
 #pragma once
 
 #include <cstddef>
@@ -17,7 +17,7 @@
 
 namespace magpie::load_test {
 
-// Messages and bytes of several connections.
+// Sums of the traffic of several endpoints.
 struct TrafficTotals {
   std::uint64_t messages_in = 0;
   std::uint64_t bytes_in = 0;
@@ -26,7 +26,7 @@
 };
 TrafficTotals SumOf(const std::vector<const Traffic*>& all);
 
-// Counters that grow throughout a run, read at one instant.
+// The counters of a run at one instant.
 struct Sample {
   Instant at;
   std::uint64_t started = 0;
@@ -42,13 +42,13 @@
   TrafficTotals state_requests;
 };
 
-// All that a run's result file is made of.
+// The input of a run's result file.
 struct Measurements {
   std::string scenario_file;
   Sample begin;
   Sample end;
   Recorder::Figures figures;
-  // After the end, once no job is open any more or the time for that is over.
+  // Taken after the drain: when no job is open, or after the drain timeout.
   Users::Counts users;
   std::size_t open_jobs = 0;
   std::size_t keys = 0;
@@ -64,8 +64,8 @@
   nlohmann::json takeovers;
 };
 
-// The result file. "ok" tells whether no rule was broken and all went as the scenario demands, and
-// "why" why not.
+// The content of the result file. "ok" is true if no rule was violated and the run met the
+// requirements of the scenario; "why" lists the failures.
 nlohmann::json ResultsToJson(const Scenario& scenario, const Measurements& measured);
 
 }  // namespace magpie::load_test
--- a/src/load_test/run.cc
+++ b/src/load_test/run.cc
@@ -13,8 +13,8 @@
 namespace magpie::load_test {
 namespace {
 
-constexpr Seconds kStep{0.1};          // between two checks of what is due
-constexpr Seconds kLongestDrain{180};  // for jobs that are to be over at the end
+constexpr Seconds kStep{0.1};          // between two checks of faults and controllers
+constexpr Seconds kLongestDrain{180};  // for open jobs at the end of a run
 constexpr double kWarmUpProgress = 0.2;
 
 void Sleep(Seconds duration) {
@@ -61,7 +61,7 @@
       recorder_(CheckerOptions(scenario_)),
       leadership_(recorder_) {}
 
-// Whoever may still call others ends first.
+// Callers stop before the objects that they call.
 Run::~Run() {
   controllers_.KillAll();
   users_loop_.Stop();
--- a/src/load_test/run.h
+++ b/src/load_test/run.h
@@ -1,4 +1,4 @@
-// One load test: real controllers, and in this process the services, workers and users around them.
+// One load test: controller processes, and simulated services, workers and users in this process.
 #pragma once
 
 #include <filesystem>
@@ -24,27 +24,26 @@
 
 namespace magpie::load_test {
 
-// The run could not begin, for a reason that the operator can mend: one line.
+// Thrown if the run cannot start, with a one-line reason for the operator.
 class CannotRun : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// Called now and then with the part of the run that is over, 0 to 1, and a few words.
+// Called periodically with the finished fraction of the run, 0 to 1, and a status text.
 using Progress = std::function<void(double, const std::string&)>;
 
 class Run {
  public:
-  // `folder` is where settings and logs go.
+  // Settings and logs are written to `folder`.
   Run(Scenario scenario, std::string scenario_file, std::filesystem::path folder,
       Progress progress);
-  // Ends the controllers, then all threads.
+  // Kills the controllers, then stops all threads.
   ~Run();
   Run(const Run&) = delete;
   Run& operator=(const Run&) = delete;
 
-  // Runs the scenario to its end; the content of the result file, with "ok" in it. Raises
-  // CannotRun.
+  // Runs the scenario to its end and returns the content of the result file. Throws RunSetupError.
   nlohmann::json Execute();
 
  private:
--- a/src/load_test/run_setup.cc
+++ b/src/load_test/run_setup.cc
@@ -1,4 +1,4 @@
-// Setting up a load test: services, controllers, workers and users.
+// Sets up a load test: services, controllers, workers and users.
 #include <chrono>
 #include <fstream>
 #include <future>
@@ -12,8 +12,8 @@
 namespace {
 
 constexpr Seconds kHealthCheckInterval{0.1};
-constexpr Seconds kHealthTimeout{60};   // of all controllers after their start
-constexpr Seconds kMachineIdle{86400};  // idle machines are not released
+constexpr Seconds kHealthTimeout{60};   // for all controllers after their start
+constexpr Seconds kMachineIdle{86400};  // so that idle machines are not released during a run
 
 }  // namespace
 
@@ -34,7 +34,7 @@
 
 void Run::SetUpControllers() {
   const std::optional<Address> cloud_address = cloud_server_->Serve();
-  if (!cloud_address) throw CannotRun("127.0.0.1: can't listen there");
+  if (!cloud_address) throw CannotRun("127.0.0.1: cannot listen");
   std::vector<ControllerPlan> plans;
   for (std::uint32_t i = 0; i < scenario_.controllers.count; ++i) {
     plans.push_back(PlanController(i));
@@ -53,12 +53,12 @@
     *address = ports_.back()->address();
   }
   const std::optional<Address> state = state_->Serve(plan.label);
-  if (!state) throw CannotRun("127.0.0.1: can't listen there");
+  if (!state) throw CannotRun("127.0.0.1: cannot listen");
   plan.state = *state;
   return plan;
 }
 
-// The operators' own file, or one with the settings that a run needs.
+// The properties file of the scenario, or a generated one with the settings that a run needs.
 std::string Run::PropertiesFile() const {
   if (!scenario_.controllers.properties.empty()) return scenario_.controllers.properties;
   const std::string properties = folder_ / "controllers.properties";
@@ -72,7 +72,7 @@
   const std::string settings = folder_ / (plan.label + ".toml");
   std::ofstream(settings) << SettingsText(scenario_, plans, index);
   const std::string log = folder_ / (plan.label + ".log");
-  std::filesystem::remove(log);  // of an earlier run
+  std::filesystem::remove(log);  // left by an earlier run
   controllers_.Add(plan, std::make_unique<ControllerProcess>(
                              std::vector<std::string>{scenario_.binary, "--properties", properties,
                                                       "--config", settings},
@@ -101,7 +101,7 @@
       std::make_unique<Users>(users_loop_, options, site_.nodes, jobs_, recorder_, user_traffic_);
 }
 
-// The machines that are there from the start, spread evenly over the zones.
+// Adds the initial machines, spread evenly over the zones.
 void Run::PlaceMachines() {
   const std::size_t zones = scenario_.zones.size();
   for (std::size_t i = 0; i < zones; ++i) {
@@ -120,7 +120,7 @@
 void Run::StartControllers() {
   if (!controllers_.StartAll())
     throw CannotRun(scenario_file_ + ": controllers.binary: " + scenario_.binary +
-                    ": can't be started");
+                    ": cannot be started");
 }
 
 void Run::AwaitHealth() {
@@ -128,11 +128,11 @@
   for (std::size_t i = 0; i < controllers_.size(); ++i) {
     while (!IsHealthy(controllers_.plan(i))) {
       if (!controllers_.process(i).running())
-        throw CannotRun(scenario_file_ + ": controllers.binary: " + scenario_.binary + ": ended" +
+        throw CannotRun(scenario_file_ + ": controllers.binary: " + scenario_.binary + ": exited during startup" +
                         controllers_.process(i).last_words());
       if (EventLoop::Now() > end)
         throw CannotRun(scenario_file_ + ": controllers.binary: " + scenario_.binary + ": " +
-                        controllers_.plan(i).label + " is not healthy");
+                        controllers_.plan(i).label + " did not become healthy");
       std::this_thread::sleep_for(std::chrono::duration<double>(kHealthCheckInterval.value));
     }
   }
--- a/src/load_test/scenario.cc
+++ b/src/load_test/scenario.cc
@@ -9,7 +9,7 @@
 namespace magpie::load_test {
 namespace {
 
-// A table whose keys are taken one by one; Done refuses those that nobody took.
+// A TOML table whose keys are read one by one. RejectUnknownKeys rejects keys that were not read.
 class Section {
  public:
   Section(const toml::table* table, std::string file, std::string name)
@@ -88,7 +88,7 @@
   void Done() const {
     if (table_ == nullptr) return;
     for (const auto& [key, node] : *table_)
-      if (!taken_.contains(std::string(key.str()))) Bad(std::string(key.str()), "is no known key");
+      if (!taken_.contains(std::string(key.str()))) Bad(std::string(key.str()), "is not a known key");
   }
 
  private:
@@ -216,7 +216,7 @@
   for (const std::string& name : job_class.teams) {
     const auto same = [&](const Team& team) { return team.name == name; };
     if (std::none_of(scenario.teams.begin(), scenario.teams.end(), same))
-      section.Bad("teams", name + " is no team");
+      section.Bad("teams", name + " is not a team of the scenario");
   }
   section.Done();
   return job_class;
@@ -233,7 +233,7 @@
   if (std::abs(shares - 1) > kRoundingTolerance) root.Bad("classes", "the shares must add up to 1");
 }
 
-// As the settings of a deployment state them.
+// Uses the same keys as the settings file of a controller.
 void ReadObjectives(Section& root, Scenario& scenario) {
   for (Section section : root.List("objectives")) {
     Objective objective;
@@ -255,7 +255,7 @@
   if (word == "zone") return Fault::Kind::kZone;
   if (word == "machines") return Fault::Kind::kMachines;
   if (word == "outage") return Fault::Kind::kOutage;
-  section.Bad("kind", "is no known fault");
+  section.Bad("kind", "is not a known kind of fault");
 }
 
 void ReadFaults(Section& root, Scenario& scenario) {
@@ -267,7 +267,7 @@
     fault.count = section.Count("count", 1, 1, kMaxCount);
     fault.zone = section.Text("zone", scenario.zones.front());
     if (std::find(scenario.zones.begin(), scenario.zones.end(), fault.zone) == scenario.zones.end())
-      section.Bad("zone", fault.zone + " is no zone");
+      section.Bad("zone", fault.zone + " is not a zone of the scenario");
     section.Done();
     scenario.faults.push_back(fault);
   }
@@ -307,7 +307,7 @@
 }
 
 void CheckCommandLine(const Scenario& scenario, const std::string& file) {
-  constexpr std::uint32_t kMaxWorkers = 10000;  // sockets of one process
+  constexpr std::uint32_t kMaxWorkers = 10000;  // limited by the sockets of one process
   constexpr double kMaxStarts = 1e5;
   const auto bad = [&](const char* option, const char* what) {
     throw BadScenario(file + ": " + option + ": " + what);
--- a/src/load_test/scenario.h
+++ b/src/load_test/scenario.h
@@ -1,4 +1,4 @@
-// The scenario of a load test, read from a TOML file. Every key is checked.
+// The scenario of a load test, read from a TOML file. Unknown keys are rejected.
 #pragma once
 
 #include <cstdint>
@@ -15,25 +15,25 @@
 
 namespace magpie::load_test {
 
-// One line that names the file and the key at fault.
+// An invalid scenario: one line that names the file and the key.
 class BadScenario : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// A fault at a set time.
+// A fault that is injected at a fixed time.
 struct Fault {
   enum class Kind : std::uint8_t {
-    kKillLeader,      // its process is killed and started again after a while
-    kKillController,  // the same for one that follows
-    kRack,            // some machines of a zone are silent, then back
-    kZone,            // all machines of a zone are
-    kMachines,        // some machines lose their power and are back, one after the other
-    kOutage,          // the key-value service refuses everything
+    kKillLeader,      // kills the leader's process and restarts it after `duration`
+    kKillController,  // the same for a follower
+    kRack,            // some machines of a zone are unreachable
+    kZone,            // all machines of a zone are unreachable
+    kMachines,        // some machines are restarted, spread over `duration`
+    kOutage,          // the key-value service rejects all requests
   };
   Kind kind = Kind::kKillLeader;
-  Seconds at;        // from the start of the measuring
-  Seconds lasts{5};  // until it is over
+  Seconds at;        // from the start of the measurement
+  Seconds lasts{5};
   std::string zone;
   std::uint32_t count = 1;  // machines
 };
@@ -42,7 +42,7 @@
   std::uint32_t count = 3;
   double memory_mb = 0;
   std::uint32_t sockets = 1000;
-  std::string properties;  // the operators' own file; may be empty
+  std::string properties;  // path of a properties file; empty: generate one
 };
 
 struct Scenario {
@@ -59,22 +59,22 @@
   std::vector<JobClass> classes;
   Seconds poll{5};
   std::uint64_t max_jobs = 0;
-  std::uint64_t least_starts = 0;  // the run fails with fewer
+  std::uint64_t least_starts = 0;  // the run fails with fewer task starts
   Seconds warm_up{10};
-  std::uint32_t threads = 2;  // of the simulated workers
+  std::uint32_t threads = 2;  // for the simulated workers
   std::vector<Fault> faults;
 
-  // What the command line says.
+  // Set from the command line.
   std::uint32_t workers = 0;
   double starts = 0;
   Seconds measured;
 };
 
-// Raises BadScenario.
+// Throws InvalidScenario.
 Scenario LoadScenario(const std::string& path);
-// Whether what the command line says can be run; raises BadScenario.
+// Validates the command-line settings. Throws InvalidScenario.
 void CheckCommandLine(const Scenario& scenario, const std::string& file);
-// For tests: a scenario from text; `name` stands for the file.
+// For tests: parses a scenario from text. `name` replaces the file name in errors.
 Scenario ParseScenario(const std::string& text, const std::string& name);
 
 }  // namespace magpie::load_test
--- a/src/load_test/simulated_worker.cc
+++ b/src/load_test/simulated_worker.cc
@@ -66,7 +66,7 @@
   fetches_.clear();
 }
 
-// Effects may ask for others: a task whose image is here starts at once.
+// Effects can cause further effects: a task whose image is cached starts immediately.
 void SimulatedWorker::CarryOut(Instant now) {
   for (auto effects = core_.TakeEffects(); !effects.empty(); effects = core_.TakeEffects())
     for (const agent::Effect& effect : effects) CarryOut(effect, now);
@@ -125,7 +125,7 @@
   if (it == processes_.end()) return;
   const std::optional<SubmittedJob> job = jobs_.Find(key.first.job);
   const Instant saved = now + (job ? job->spec.save_duration : Seconds{});
-  if (it->second.ends <= saved) return;  // it is done before it is saved
+  if (it->second.ends <= saved) return;  // the task completes before it is saved
   it->second = {saved, agent::Outcome::kSaved};
 }
 
--- a/src/load_test/simulated_worker.h
+++ b/src/load_test/simulated_worker.h
@@ -1,8 +1,8 @@
-// A worker without tasks' work: the protocol's state machine of src/agent, whose effects
-// only take time here. Images are fetched and processes run until a deadline; nothing is
-// stored, so a task that is started again runs its whole time again.
+// A worker that simulates its tasks: the state machine of src/agent, whose effects only take time.
+// Image fetches and processes end at a set time. Nothing is stored, so a restarted task runs its
+// whole run time again.
 //
-// Pure: the caller tells the time and carries the messages. Not safe for threads.
+// No I/O: the caller passes the time and transports the messages. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -22,7 +22,7 @@
 
 namespace magpie::load_test {
 
-// Called when a task takes its place on the machine and when it has left it for certain.
+// Called when a task starts on a machine and when it has certainly ended there.
 class TaskObserver {
  public:
   virtual ~TaskObserver() = default;
@@ -36,7 +36,7 @@
  public:
   struct Options {
     agent::Worker::Options agent;
-    agent::Worker::DurableState memory;  // of the worker that was there before
+    agent::Worker::DurableState memory;  // of the previous worker process on the machine
     double fetch_gb_per_s = 1;
     std::uint64_t seed = 0;
   };
@@ -44,7 +44,7 @@
   // `jobs` and `observer` must outlive the worker.
   SimulatedWorker(Options options, const JobLedger& jobs, TaskObserver& observer, Instant now);
 
-  // The report that is due, if none is on its way.
+  // The next heartbeat, if its time has come and no other is in flight.
   std::optional<agent::Worker::Outgoing> NextHeartbeat(Instant now);
   void OnAnswer(const agent::Answer& answer, Instant now);
   agent::DirectCommandReply OnDirectCommand(std::optional<FencingToken> token,
@@ -52,11 +52,11 @@
                                             const std::vector<Command>& commands, Instant now);
   Heartbeat Inspect(Instant now);
   void OnPreemptionNotice(std::optional<Seconds> left) { core_.OnPreemptionNotice(left); }
-  // Carries out what is due: ends of fetches and processes, the lease.
+  // Ends fetches and processes whose time has passed, and checks the lease.
   void Advance(Instant now);
-  // When NextHeartbeat or Advance may have something to do, at the latest.
+  // The latest time for the next call of NextHeartbeat or Advance.
   Instant Wake() const;
-  // The machine is lost: all that is on it is gone.
+  // Ends all tasks and fetches, as a machine without power does.
   void Perish(Instant now);
 
   std::size_t running() const { return processes_.size(); }
@@ -86,8 +86,8 @@
   std::minstd_rand random_;
   agent::Worker core_;
   std::map<ProcessKey, Process> processes_;
-  std::map<std::string, Instant> fetches_;     // when each will be there
-  std::map<std::string, double> image_sizes_;  // of images asked for, in GB
+  std::map<std::string, Instant> fetches_;     // end of each fetch, by image
+  std::map<std::string, double> image_sizes_;  // of requested images, in GB
 };
 
 }  // namespace magpie::load_test
--- a/src/load_test/state_server.cc
+++ b/src/load_test/state_server.cc
@@ -8,7 +8,7 @@
 namespace magpie::load_test {
 namespace {
 
-constexpr Seconds kTick{0.05};  // leases may end 0.1 s late
+constexpr Seconds kTick{0.05};  // PROTOCOL allows leases to end 0.1 s late
 constexpr Seconds kLongestBlock{60};
 constexpr char kKeys[] = "/kv";
 constexpr char kKey[] = "/kv/";
--- a/src/load_test/state_server.h
+++ b/src/load_test/state_server.h
@@ -1,5 +1,5 @@
-// The stand-in key-value service over HTTP: one endpoint for each controller, so that each can
-// be counted and cut off by itself, with latencies, waiting watches and outages.
+// Serves the simulated key-value service over HTTP, with latencies, blocking watches and outages.
+// Each controller has its own endpoint, for separate traffic counts and fault injection.
 #pragma once
 
 #include <cstdint>
@@ -20,8 +20,8 @@
  public:
   struct Options {
     StateService::Options service;
-    Seconds latency{0.005};       // in the median
-    double latency_spread = 0.5;  // of its logarithm
+    Seconds latency{0.005};       // median
+    double latency_spread = 0.5;  // standard deviation of its logarithm
     std::uint64_t seed = 1;
   };
   struct Counts {
@@ -29,19 +29,19 @@
     std::uint64_t rate_limited = 0;
     std::uint64_t commits = 0;
     std::uint64_t conflicts = 0;
-    std::uint64_t operations = 0;  // puts and drops that were carried out
+    std::uint64_t operations = 0;  // committed puts and drops
     std::uint64_t value_bytes = 0;
   };
-  // Told of each transaction that was carried out.
+  // Called for each committed transaction.
   using OnCommit = std::function<void(const Transaction&, Instant)>;
 
-  // All calls are made on the loop's thread, but for Serve before it runs.
+  // Used only on the loop's thread, except for Serve before the loop runs.
   StateServer(EventLoop& loop, Options options, OnCommit on_commit);
 
-  // An endpoint for one controller; none: it can't listen.
+  // Opens an endpoint for one controller. Returns no address if it cannot listen.
   std::optional<Address> Serve(const std::string& controller);
   void SetOutage(bool outage);
-  // One controller gets 503, as if its way there were cut.
+  // Answers one controller with 503, as if the service were unreachable for it.
   void SetCut(const std::string& controller, bool cut);
 
   const Counts& counts() const { return counts_; }
@@ -73,7 +73,7 @@
   HttpReply AnswerLease(const HttpCall& call);
   void AnswerWatch(const std::string& controller, const HttpCall& call,
                    const EventLoop::ReplyTo& reply);
-  // Answers those whose time has come or who have something to hear.
+  // Answers watches that have changes to report or whose time has run out.
   void ServeWatches();
   void Tick();
   Seconds Latency();
--- a/src/load_test/state_service.cc
+++ b/src/load_test/state_service.cc
@@ -12,7 +12,7 @@
 constexpr std::size_t kMaxRangeBytes = 512UL * 1024;
 constexpr std::size_t kMaxTransactionBytes = 64UL * 1024;
 constexpr std::size_t kConditionsForOperation = 4;
-constexpr std::size_t kOverhead = 40;  // bytes of an operation beside its key and value
+constexpr std::size_t kOverhead = 40;  // added to the key and value of an operation
 constexpr Seconds kShortestLife{0.1};
 constexpr Seconds kLongestLife{600};
 
@@ -54,7 +54,7 @@
   return range;
 }
 
-// What is wrong with the transaction whatever the conditions; null: nothing.
+// The error of an invalid transaction, before its conditions are checked; null if it is valid.
 const char* StateService::Fault(const Transaction& transaction) const {
   if (transaction.changes.size() > options_.most_operations) return "too many operations";
   if (transaction.conditions.size() > kConditionsForOperation * options_.most_operations)
@@ -79,7 +79,7 @@
 
 StateCommit StateService::Commit(const Transaction& transaction, Instant now) {
   Expire(now);
-  // Those whose conditions fail count as well.
+  // Transactions whose conditions fail count against the write rate too.
   if (!writes_.Take(static_cast<double>(transaction.changes.size()), now))
     return {StateStatus::kOverRate, tick_, {}, "rate"};
   if (const char* fault = Fault(transaction)) return {StateStatus::kBad, tick_, {}, fault};
--- a/src/load_test/state_service.h
+++ b/src/load_test/state_service.h
@@ -1,6 +1,6 @@
-// The key-value service of PROTOCOL as a state machine: keys with stamps, transactions, leases,
-// the log that watches read, and the limits. The caller tells the time, which never goes
-// back. Not safe for threads.
+// The key-value service of PROTOCOL as a state machine: keys with revisions, transactions, leases,
+// the change log that watches read, and the limits. The caller passes the time, which must not
+// decrease. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -23,7 +23,7 @@
   kConflict,  // 409
   kOverRate,  // 429
   kBad,       // 400
-  kTooOld,    // 410: the log does not go back so far
+  kTooOld,    // 410: the requested revision is no longer in the log
 };
 
 struct StateEntry {
@@ -42,8 +42,8 @@
 struct StateCommit {
   StateStatus status = StateStatus::kOk;
   Revision tick;
-  std::vector<std::string> failed;  // keys of conditions that do not hold
-  const char* error = "";           // what is wrong with a bad one
+  std::vector<std::string> failed;  // keys of failed conditions
+  const char* error = "";           // the reason of kInvalid or kRateLimited
 };
 
 struct StateLog {
@@ -64,24 +64,24 @@
 
   explicit StateService(Options options);
 
-  // Counts a request against the rate; false: it is refused with 429.
+  // Counts a request against the rate limit. Returns false if it must be rejected with 429.
   bool Admit(Instant now) { return requests_.Take(1, now); }
 
   std::optional<StateEntry> Get(const std::string& key, Instant now);
-  // At most `page` entries and as many bytes as PROTOCOL allows.
+  // At most `page` entries, and no more bytes than PROTOCOL allows.
   StateRange Range(const std::string& prefix, const std::string& after, std::size_t page,
                    Instant now);
   StateCommit Commit(const Transaction& transaction, Instant now);
-  // 0: the life is out of the protocol's range.
+  // Returns lease 0 if the duration is outside the range of PROTOCOL.
   LeaseId Grant(Seconds life, Instant now);
   StateStatus KeepAlive(LeaseId lease, Instant now);
   StateStatus End(LeaseId lease, Instant now);
-  // What changed under the prefix after that tick; empty: nothing yet.
+  // The changes of keys with the prefix after a revision; empty if there are none yet.
   StateLog Changes(const std::string& prefix, Revision after, Instant now);
-  // Ends the leases that have run out, and drops their keys. All calls above do it too.
+  // Ends expired leases and deletes their keys. All functions above do so first.
   void Expire(Instant now);
-  // After an outage every lease has its full time again. Nothing else may be called
-  // while it lasts.
+  // Restarts the full duration of every lease at the end of an outage. During the outage no other
+  // function may be called.
   void EndOutage(Instant now);
 
   Revision tick() const { return tick_; }
@@ -110,8 +110,8 @@
   std::map<LeaseId, Lease> leases_;
   std::uint64_t last_lease_ = 0;
   Revision tick_{1};
-  std::deque<WatchEvent> log_;  // the latest changes
-  Revision forgotten_;          // changes up to this one are not in the log any more
+  std::deque<WatchEvent> log_;  // the latest max_log_entries changes
+  Revision forgotten_;          // changes up to this revision were removed from the log
 };
 
 }  // namespace magpie::load_test
--- a/src/load_test/users.cc
+++ b/src/load_test/users.cc
@@ -8,7 +8,7 @@
 namespace magpie::load_test {
 namespace {
 
-// By PROTOCOL, "Users -> controller nodes".
+// From PROTOCOL, "Users -> controller nodes".
 constexpr Seconds kSubmitWait{5};
 constexpr Seconds kPollWait{2};
 constexpr Seconds kRetry{1};
@@ -16,10 +16,10 @@
 constexpr Seconds kSkipTime{3};
 constexpr int kFailuresToSkip = 3;
 
-constexpr std::size_t kMaxCallers = 64;  // to a controller
+constexpr std::size_t kMaxCallers = 64;  // per controller
 constexpr double kPollSpread = 0.2;
-constexpr Seconds kFinalPollDelay{3};       // a job that is over is asked about once more
-constexpr Seconds kUnknownJobInterval{10};  // between questions about jobs that never were
+constexpr Seconds kFinalPollDelay{3};       // one more poll after a job has ended
+constexpr Seconds kUnknownJobInterval{10};  // between polls of jobs that do not exist
 constexpr std::uint64_t kNeverSubmitted = 90000000;
 
 std::string IdOf(std::uint64_t number) {
@@ -38,7 +38,7 @@
   bool accepted = false;
   bool over = false;
   bool cancelling = false;
-  Seconds cancel_after;  // 0: it is not cancelled
+  Seconds cancel_after;  // 0: not cancelled
 };
 
 Users::Users(EventLoop& loop, Options options, const std::vector<Node>& nodes, JobLedger& jobs,
@@ -181,7 +181,7 @@
   });
 }
 
-// A healthy controller, as the balancer would choose; null: all are busy or skipped.
+// Chooses a controller as the load balancer does; null if all are busy or skipped as unhealthy.
 EventLoop::Caller* Users::Choose(std::size_t& node) {
   const Instant now = EventLoop::Now();
   const auto first = static_cast<std::size_t>(Draw() * static_cast<double>(nodes_.size()));
--- a/src/load_test/users.h
+++ b/src/load_test/users.h
@@ -1,5 +1,5 @@
-// The users of a run: jobs arrive by class and team, are submitted, asked about and
-// sometimes cancelled, as PROTOCOL says that users do. On the thread of its loop.
+// The simulated users of a run: submit jobs of the configured classes, poll them and cancel some, by
+// the rules of PROTOCOL for users. Used on the thread of its loop.
 #pragma once
 
 #include <cstdint>
@@ -17,22 +17,22 @@
 
 namespace magpie::load_test {
 
-// Jobs that arrive alike.
+// A class of similar jobs.
 struct JobClass {
-  JobSpec like;                    // but for its id, team and time
-  std::vector<std::string> teams;  // drawn evenly
-  Seconds run_time;                // of a task
-  double spread = 0;               // of run times, either way
-  double share = 0;                // of all starts
-  double cancelled = 0;            // part of the jobs whose users cancel them
+  JobSpec like;                    // without id, team and submission time
+  std::vector<std::string> teams;  // drawn with equal probability
+  Seconds run_time;                // mean of its tasks
+  double spread = 0;               // maximum deviation of run times, as a fraction
+  double share = 0;                // of all task starts
+  double cancelled = 0;            // fraction of the jobs that are cancelled
 };
 
 class Users {
  public:
   struct Options {
     std::vector<JobClass> classes;
-    double starts = 1;           // tasks a second of all classes
-    std::uint64_t max_jobs = 0;  // 0: no bound
+    double starts = 1;           // tasks per second of all classes
+    std::uint64_t max_jobs = 0;  // 0: no limit
     Seconds poll{5};
     std::uint64_t seed = 1;
   };
@@ -40,25 +40,25 @@
     std::uint64_t submitted = 0;
     std::uint64_t accepted = 0;
     std::uint64_t refused = 0;
-    std::uint64_t given_up = 0;  // without an acceptance within the protocol's minute
+    std::uint64_t given_up = 0;  // not accepted within the minute that PROTOCOL allows
     std::uint64_t done = 0;
     std::uint64_t cancelled = 0;
     std::uint64_t polls = 0;
-    std::uint64_t unanswered = 0;  // requests of any kind without an answer by the protocol
+    std::uint64_t unanswered = 0;  // requests without a valid response
   };
 
-  // `nodes`, `jobs`, `recorder` and `traffic` (by node) must outlive it.
+  // `nodes`, `jobs`, `recorder` and `traffic` (by node) must outlive this object.
   Users(EventLoop& loop, Options options, const std::vector<Node>& nodes, JobLedger& jobs,
         Recorder& recorder, std::vector<std::unique_ptr<Traffic>>& traffic);
   ~Users();
 
   void Begin();
-  // No job arrives any more.
+  // Submits no further jobs.
   void StopArrivals() { arriving_ = false; }
   const Counts& counts() const { return counts_; }
   // Jobs that were accepted and are neither done nor cancelled.
   std::size_t open() const { return open_; }
-  // All that were to come have come and are over.
+  // Whether no further jobs will be submitted and all submitted jobs have ended.
   bool finished() const;
 
  private:
@@ -66,7 +66,7 @@
   struct Route {
     std::vector<std::unique_ptr<EventLoop::Caller>> callers;
     Instant skipped_until;
-    int failures = 0;  // in a row
+    int failures = 0;  // consecutive
   };
 
   void Arrive(std::size_t number_of_class);
@@ -79,7 +79,7 @@
   void Cancel(const std::shared_ptr<Job>& job);
   void OnAnswer(const std::shared_ptr<Job>& job, AnsweredState state);
   void PollUnknownJob();
-  // Sends it to a controller; passes on what the answer says and when the request was sent.
+  // Sends a request to a controller. Passes the state in the response and the time of the request.
   void Ask(HttpCall call, Seconds timeout, std::function<void(AnsweredState, Instant)> on_answer);
   EventLoop::Caller* Choose(std::size_t& node);
   double Draw() { return std::uniform_real_distribution<double>(0, 1)(random_); }
@@ -95,7 +95,7 @@
   std::uint64_t last_job_ = 0;
   bool arriving_ = true;
   std::size_t open_ = 0;
-  std::size_t awaited_ = 0;  // submitted without a word yet
+  std::size_t awaited_ = 0;  // submissions without a final response
   Counts counts_;
 };
 
--- a/src/load_test/worker_pool.h
+++ b/src/load_test/worker_pool.h
@@ -1,4 +1,4 @@
-// The simulated workers of a run, spread over a few threads.
+// Runs the simulated workers of a run on several threads.
 #pragma once
 
 #include <memory>
@@ -12,38 +12,38 @@
 
 namespace magpie::load_test {
 
-// Safe for threads, but not to be called from its own.
+// Thread-safe, but must not be called from the pool's own threads.
 class WorkerPool {
  public:
-  // `site`, `jobs` and `recorder` must outlive it.
+  // `context`, `jobs` and `recorder` must outlive the pool.
   WorkerPool(std::size_t threads, WorkerSite& site, const JobLedger& jobs, Recorder& recorder);
-  // Ends its threads, and all workers with them.
+  // Stops the threads and destroys all workers.
   ~WorkerPool();
   WorkerPool(const WorkerPool&) = delete;
   WorkerPool& operator=(const WorkerPool&) = delete;
 
-  // Where the machine's worker will listen; empty: it can't.
+  // The address where the machine's worker will listen; empty if it cannot listen.
   std::string Add(const CloudMachine& machine);
   void Begin(const MachineId& machine);
-  // All on it is gone when this returns.
+  // When this returns, the worker is destroyed and its tasks have ended.
   void Remove(const MachineId& machine);
   void SetSilent(const MachineId& machine, bool heartbeat_timeout);
   void Perish(const MachineId& machine);
   void Restart(const MachineId& machine);
 
-  // Machines that are there, in the order of their names.
+  // The machines of the pool, ordered by name.
   std::vector<CloudMachine> machines() const;
 
  private:
   struct Thread {
     EventLoop loop;
     std::thread thread;
-    // Used on its thread alone.
+    // Used only on this thread.
     std::unordered_map<std::string, std::unique_ptr<NetworkedWorker>> workers;
   };
 
   Thread& ThreadOf(const MachineId& machine);
-  // Has the worker's thread call it, if the worker is still there.
+  // Runs `call` on the worker's thread, if the worker still exists then.
   void On(const MachineId& machine, std::function<void(NetworkedWorker&)> call);
 
   WorkerSite& site_;
