--- a/bench/binding_world.cc
+++ b/bench/binding_world.cc
@@ -133,7 +133,7 @@
   return std::move(result_);
 }
 
-void ChurnWorld::OnTaskBegan(const MachineId&, const TaskId& task, Attempt, Instant now) {
+void ChurnWorld::OnTaskStarted(const MachineId&, const TaskId& task, Attempt, Instant now) {
   ++result_.started;
   const auto it = submitted_.find(task.job);
   if (it != submitted_.end()) waits_.push_back((now - it->second).value);
@@ -154,7 +154,7 @@
 }
 
 void ChurnWorld::Schedule(std::size_t worker) {
-  const Instant at = std::max(workers_[worker]->Wake(), now_ + kStep);
+  const Instant at = std::max(workers_[worker]->NextWakeup(), now_ + kStep);
   wake_at_[worker] = at;
   wakes_.push({at, worker});
 }
--- a/bench/binding_world.h
+++ b/bench/binding_world.h
@@ -78,8 +78,8 @@
     Instant done;
   };
 
-  void OnTaskBegan(const MachineId&, const TaskId& task, Attempt, Instant now) override;
-  void OnTaskLeft(const MachineId&, const TaskId&, Attempt, bool, Instant) override {
+  void OnTaskStarted(const MachineId&, const TaskId& task, Attempt, Instant now) override;
+  void OnTaskEnded(const MachineId&, const TaskId&, Attempt, bool, Instant) override {
     ++result_.ended;
   }
 
--- a/src/load_test/checker.h
+++ b/src/load_test/checker.h
@@ -35,7 +35,7 @@
   kNothingRan,
 };
 // The name of the rule in PROTOCOL.
-const char* NameOf(Rule rule);
+const char* RuleName(Rule rule);
 
 struct Violation {
   Rule rule = Rule::kNothingRan;
@@ -47,8 +47,9 @@
  public:
   struct Options {
     std::vector<Team> teams;
-    Seconds cancel{60};
-    Seconds lost{90};  // a job is lost if its polls fail for so long while others are answered
+    Seconds cancel_timeout{60};
+    // A job is lost if its polls fail for so long while most polls are answered.
+    Seconds lost_timeout{90};
   };
 
   explicit Checker(Options options);
@@ -78,7 +79,7 @@
     bool accepted = false;
     std::optional<Instant> cancel_requested;
     std::optional<Instant> final_since;  // when a user first received a final state
-    AnsweredState final = AnsweredState::kLive;
+    ReportedState final_state = ReportedState::kActive;
     std::vector<bool> completed;  // by task index
     std::uint32_t completed_count = 0;
     std::map<std::uint32_t, std::vector<Place>> places;  // of tasks on machines, by task index
@@ -87,34 +88,34 @@
     bool loss_reported = false;
   };
   // The polls of one second. Seconds older than `lost_timeout` are dropped.
-  struct PollSecond {
+  struct PollCounts {
     double second = 0;  // a whole number
     std::uint64_t answered = 0;
     std::uint64_t failed = 0;
   };
 
   void On(const MachineUp& event, Instant at);
-  void On(const TaskBegan& event, Instant at);
-  void On(const TaskLeft& event, Instant at);
+  void On(const TaskStarted& event, Instant at);
+  void On(const TaskEnded& event, Instant at);
   void On(const JobSubmitted& event, Instant at);
   void On(const UserAnswered& event, Instant at);
   void On(const CancelRequested& event, Instant at);
 
-  void CheckPlace(const Job& job, const TaskId& task, const Machine& machine, Instant at);
+  void CheckPlacement(const Job& job, const TaskId& task, const Machine& machine, Instant at);
   void CheckQuota(const JobSpec& spec, Instant at);
   void CheckCancelled(const Job& job, const TaskId& task, const char* what, Instant at);
   void CheckPolls(Job& job, const UserAnswered& event, Instant at);
   void CheckFinal(Job& job, const UserAnswered& event, Instant at);
   void CountPoll(bool answered, Instant at);
-  bool MostWereAnswered(Instant at) const;
+  bool MostPollsWereAnswered(Instant at) const;
   void AddViolation(Rule rule, Instant at, std::string text);
 
   Options options_;
   std::map<std::string, Team> teams_;
   std::unordered_map<std::string, Machine> machines_;
   std::unordered_map<std::string, Job> jobs_;
-  std::map<std::string, Resources> use_;  // by team, of tasks on machines
-  std::deque<PollSecond> polls_;
+  std::map<std::string, Resources> usage_;  // by team, of tasks on machines
+  std::deque<PollCounts> polls_;
   std::uint64_t starts_ = 0;
   std::uint64_t accepted_ = 0;
   std::map<Rule, std::uint64_t> violation_counts_;
--- a/src/load_test/cloud.h
+++ b/src/load_test/cloud.h
@@ -26,7 +26,7 @@
   std::uint32_t count = 0;
 };
 
-enum class CloudStatus : std::uint8_t { kOk, kOverRate, kNoCapacity, kBad };
+enum class CloudStatus : std::uint8_t { kOk, kRateLimited, kNoCapacity, kInvalid };
 
 struct RentalResult {
   CloudStatus status = CloudStatus::kOk;
@@ -45,23 +45,23 @@
  public:
   struct Options {
     std::vector<MachineType> types;
-    std::uint32_t most_machines = 1000;  // at the same time
-    double requests_a_second = 10;
+    std::uint32_t max_machines = 1000;  // at the same time
+    double requests_per_second = 10;
     Seconds list_lag{6};
     double boot_spread = 0.4;  // a boot takes the stated time, less or more up to this fraction
     std::uint64_t seed = 1;
   };
   struct Hooks {
     // Called when a machine is rented; returns the address at which its worker will listen.
-    std::function<std::string(const CloudMachine&)> rented;
-    std::function<void(const MachineId&)> up;  // called when the machine has booted
+    std::function<std::string(const CloudMachine&)> on_rented;
+    std::function<void(const MachineId&)> on_booted;  // called when the machine has booted
     // Called when the machine is released. All its tasks have ended when this returns.
-    std::function<void(const MachineId&)> released;
+    std::function<void(const MachineId&)> on_released;
   };
 
   Cloud(Options options, Hooks hooks);
 
-  bool Admit(Instant now) { return requests_.Take(1, now); }
+  bool Admit(Instant now) { return requests_.TryAcquire(1, now); }
   const std::vector<MachineType>& types() const { return options_.types; }
   // A repeated name returns the machines of the first request with that name.
   RentalResult Provision(const RentalRequest& request, Instant now);
@@ -73,7 +73,7 @@
   };
   List ListAfter(const MachineId& after, std::size_t page, Instant now);
   // Adds machines that have already booted.
-  void Place(const RentalRequest& request, Instant now);
+  void AddBooted(const RentalRequest& request, Instant now);
   // Boots machines whose boot time has passed, and takes the snapshots that lists are served from.
   void Advance(Instant now);
   // Marks a machine as failed.
@@ -83,10 +83,10 @@
 
  private:
   struct Machine {
-    CloudMachine facts;
+    CloudMachine info;
     std::string addr;
     Instant rented;
-    Instant boots;
+    Instant boot_at;
     bool up = false;
     std::optional<Instant> failed;
   };
@@ -95,11 +95,11 @@
     std::vector<ListedMachine> machines;
   };
 
-  bool Knows(const RentalRequest& request) const;
-  MachineId Add(const RentalRequest& request, Instant now, Instant boots);
+  bool IsKnownType(const RentalRequest& request) const;
+  MachineId Add(const RentalRequest& request, Instant now, Instant boot_at);
   void Boot(Machine& machine);
   Seconds BootTime(const std::string& type);
-  Snapshot Snap(Instant now) const;
+  Snapshot TakeSnapshot(Instant now) const;
 
   Options options_;
   Hooks hooks_;
--- a/src/load_test/codec.cc
+++ b/src/load_test/codec.cc
@@ -24,9 +24,9 @@
 }
 
 const Json& ListOf(const Json& object, const char* field) {
-  static const Json kNone = Json::array();
+  static const Json kEmpty = Json::array();
   const auto it = object.find(field);
-  if (it == object.end() || it->is_null()) return kNone;
+  if (it == object.end() || it->is_null()) return kEmpty;
   if (!it->is_array()) throw InvalidMessage(std::string(field) + ": not a list");
   return *it;
 }
@@ -48,15 +48,15 @@
 std::string PathOf(const std::string& target) { return target.substr(0, target.find('?')); }
 
 std::optional<std::string> QueryField(const std::string& target, std::string_view field) {
-  const auto question = target.find('?');
-  if (question == std::string::npos) return std::nullopt;
-  std::string_view rest = std::string_view(target).substr(question + 1);
-  while (!rest.empty()) {
-    const std::string_view part = rest.substr(0, rest.find('&'));
-    rest.remove_prefix(std::min(rest.size(), part.size() + 1));
-    const auto equals = part.find('=');
-    if (equals != std::string_view::npos && part.substr(0, equals) == field)
-      return std::string(part.substr(equals + 1));
+  const auto query_start = target.find('?');
+  if (query_start == std::string::npos) return std::nullopt;
+  std::string_view remaining = std::string_view(target).substr(query_start + 1);
+  while (!remaining.empty()) {
+    const std::string_view pair = remaining.substr(0, remaining.find('&'));
+    remaining.remove_prefix(std::min(remaining.size(), pair.size() + 1));
+    const auto separator = pair.find('=');
+    if (separator != std::string_view::npos && pair.substr(0, separator) == field)
+      return std::string(pair.substr(separator + 1));
   }
   return std::nullopt;
 }
@@ -65,9 +65,10 @@
   const auto text = QueryField(target, field);
   if (!text) return std::nullopt;
   std::uint64_t value = 0;
-  const char* to = text->data() + text->size();
-  const auto [end, error] = std::from_chars(text->data(), to, value);
-  if (error != std::errc{} || end != to) throw InvalidMessage(std::string(field) + ": not a count");
+  const char* text_end = text->data() + text->size();
+  const auto [parsed_end, error] = std::from_chars(text->data(), text_end, value);
+  if (error != std::errc{} || parsed_end != text_end)
+    throw InvalidMessage(std::string(field) + ": not a count");
   return value;
 }
 
@@ -88,9 +89,9 @@
   return transaction;
 }
 
-Seconds LeaseLifeFromJson(const Json& body) {
-  constexpr double kMilli = 1e-3;
-  return {kMilli * static_cast<double>(CountOf(body, "life_ms"))};
+Seconds LeaseDurationFromJson(const Json& body) {
+  constexpr double kSecondsPerMs = 1e-3;
+  return {kSecondsPerMs * static_cast<double>(CountOf(body, "life_ms"))};
 }
 
 Json ToJson(const StateEntry& entry) {
@@ -168,11 +169,11 @@
 
 agent::Answer AnswerFromReply(int status, const std::string& body) {
   constexpr int kOk = 200;
-  constexpr int kElsewhere = 421;
+  constexpr int kMisdirected = 421;
   agent::Answer answer;
   try {
     const Json object = protocol::ParseObject(body);
-    if (status == kElsewhere) {
+    if (status == kMisdirected) {
       answer.kind = agent::Answer::Kind::kRedirected;
       if (object.contains("home_roost")) answer.destination = TextOf(object, "home_roost");
     } else if (status == kOk) {
@@ -187,7 +188,7 @@
   return answer;
 }
 
-DirectCommands DirectFromJson(const Json& body) {
+DirectCommands DirectCommandsFromJson(const Json& body) {
   DirectCommands direct;
   if (body.contains("crest")) direct.token = FencingToken{CountOf(body, "crest")};
   if (body.contains("stint")) direct.agent_epoch = CountOf(body, "stint");
@@ -195,25 +196,25 @@
   return direct;
 }
 
-Json JobToUser(const JobSpec& spec) {
+Json JobToRequest(const JobSpec& spec) {
   Json body = protocol::JobToRecord(spec);
   body.erase("at");  // controllers set the time of submission
   return body;
 }
 
-AnsweredState StateFromAnswer(int status, const std::string& body) {
-  if (status == 404) return AnsweredState::kUnknown;
-  if (status == 400 || status == 422) return AnsweredState::kRefused;
-  if (status != 200 && status != 201) return AnsweredState::kNoAnswer;
+ReportedState StateFromAnswer(int status, const std::string& body) {
+  if (status == 404) return ReportedState::kUnknown;
+  if (status == 400 || status == 422) return ReportedState::kRejected;
+  if (status != 200 && status != 201) return ReportedState::kNoAnswer;
   try {
     const std::string state = TextOf(protocol::ParseObject(body), "mood");
-    if (state == protocol::kDone) return AnsweredState::kDone;
-    if (state == protocol::kCancelled) return AnsweredState::kCancelled;
-    if (state == protocol::kQueued || state == protocol::kRunning) return AnsweredState::kLive;
+    if (state == protocol::kDone) return ReportedState::kDone;
+    if (state == protocol::kCancelled) return ReportedState::kCancelled;
+    if (state == protocol::kQueued || state == protocol::kRunning) return ReportedState::kActive;
   } catch (const InvalidMessage&) {
-    return AnsweredState::kNoAnswer;
+    return ReportedState::kNoAnswer;
   }
-  return AnsweredState::kNoAnswer;
+  return ReportedState::kNoAnswer;
 }
 
 }  // namespace magpie::load_test
--- a/src/load_test/codec.h
+++ b/src/load_test/codec.h
@@ -26,7 +26,7 @@
 
 // --- Key-value service
 Transaction TransactionFromJson(const Json& body);
-Seconds LeaseLifeFromJson(const Json& body);
+Seconds LeaseDurationFromJson(const Json& body);
 Json ToJson(const StateEntry& entry);
 Json ToJson(const StateRange& range);
 Json ToJson(const StateCommit& commit);
@@ -47,11 +47,11 @@
   std::optional<std::uint64_t> agent_epoch;
   std::vector<Command> commands;
 };
-DirectCommands DirectFromJson(const Json& body);
+DirectCommands DirectCommandsFromJson(const Json& body);
 
 // --- Users
-Json JobToUser(const JobSpec& spec);
+Json JobToRequest(const JobSpec& spec);
 // The job state in a response. A response that violates the protocol counts as no answer.
-AnsweredState StateFromAnswer(int status, const std::string& body);
+ReportedState StateFromAnswer(int status, const std::string& body);
 
 }  // namespace magpie::load_test
--- a/src/load_test/controller_group.cc
+++ b/src/load_test/controller_group.cc
@@ -49,12 +49,12 @@
 void ControllerGroup::Measure(const std::string& leader, Instant now) {
   for (Member& member : members_) {
     const double cpu_s = member.process->cpu_s();
-    const double used = std::max(0.0, cpu_s - member.cpu_s);
+    const double used_s = std::max(0.0, cpu_s - member.cpu_s);
     member.cpu_s = cpu_s;
-    const bool leads = member.plan.label == leader;
-    (leads ? usage_.leader_cpu_s : usage_.follower_cpu_s) += used;
+    const bool is_leader = member.plan.label == leader;
+    (is_leader ? usage_.leader_cpu_s : usage_.follower_cpu_s) += used_s;
     const auto process = UsageOf(member.process->pid());
-    double& peak_mb = leads ? usage_.leader_peak_mb : usage_.follower_peak_mb;
+    double& peak_mb = is_leader ? usage_.leader_peak_mb : usage_.follower_peak_mb;
     if (process) peak_mb = std::max(peak_mb, process->resident_mb);
   }
   if (!leader.empty()) usage_.leader_s += (now - last_measured_).value;
--- a/src/load_test/controller_process.h
+++ b/src/load_test/controller_process.h
@@ -22,7 +22,8 @@
 std::optional<ProcessUsage> UsageOf(pid_t pid);
 
 // Reserves a loopback port for a process. Sockets that request any free port get another one, but a
-// server that sets SO_REUSEADDR, as controllers do, can listen on it, also again after it was killed.
+// server that sets SO_REUSEADDR, as controllers do, can listen on it, also again after it was
+// killed.
 class ReservedPort {
  public:
   ReservedPort();
@@ -66,7 +67,7 @@
   // The sum over this start and all earlier ones.
   double cpu_s() const;
   // ": " and the last line of the log; empty if the log is empty.
-  std::string last_words() const;
+  std::string last_log_line() const;
 
  private:
   std::vector<std::string> command_;
--- a/src/load_test/event_loop.cc
+++ b/src/load_test/event_loop.cc
@@ -33,13 +33,14 @@
 using Executor = asio::io_context::executor_type;
 
 constexpr unsigned kHttp11 = 11;
-constexpr std::uint64_t kMaxBody = 8UL * 1024 * 1024;  // answers to watches have no limit in PROTOCOL
-constexpr Seconds kIdle{600};                          // of a connection between requests
-constexpr Seconds kLongestReply{90};                   // of a handler; then the connection is closed
+// Answers to watches have no size limit in PROTOCOL.
+constexpr std::uint64_t kMaxBodyBytes = 8UL * 1024 * 1024;
+constexpr Seconds kIdleTimeout{600};  // of a connection between requests
+constexpr Seconds kReplyTimeout{90};  // of a handler; then the connection is closed
 
-std::chrono::nanoseconds DurationOf(Seconds s) {
+std::chrono::nanoseconds DurationOf(Seconds seconds) {
   return std::chrono::duration_cast<std::chrono::nanoseconds>(
-      std::chrono::duration<double>(s.value));
+      std::chrono::duration<double>(seconds.value));
 }
 
 tcp::endpoint EndpointOf(const Address& address) {
@@ -48,8 +49,8 @@
 
 class AsioTimer : public EventLoop::Timer {
  public:
-  AsioTimer(asio::io_context& io, std::function<void()> due)
-      : state_(std::make_shared<State>(io, std::move(due))) {}
+  AsioTimer(asio::io_context& io, std::function<void()> callback)
+      : state_(std::make_shared<State>(io, std::move(callback))) {}
   ~AsioTimer() override {
     state_->alive = false;
     state_->timer.cancel();
@@ -64,15 +65,16 @@
     state_->timer.async_wait([state = state_](const boost::system::error_code& error) {
       if (error || !state->alive) return;
       state->set = false;
-      state->due();
+      state->callback();
     });
   }
 
  private:
   struct State {
-    State(asio::io_context& io, std::function<void()> call) : timer(io), due(std::move(call)) {}
+    State(asio::io_context& io, std::function<void()> call)
+        : timer(io), callback(std::move(call)) {}
     asio::steady_timer timer;
-    std::function<void()> due;
+    std::function<void()> callback;
     Instant at;
     bool set = false;
     bool alive = true;
@@ -83,7 +85,7 @@
 // A reply that the handler gives before it returns, or later.
 struct PendingReply {
   explicit PendingReply(const asio::any_io_executor& executor) : wake(executor) {
-    wake.expires_after(DurationOf(kLongestReply));
+    wake.expires_after(DurationOf(kReplyTimeout));
   }
   asio::steady_timer wake;
   std::optional<HttpReply> reply;
@@ -100,7 +102,7 @@
     asio::post(state_->acceptor.get_executor(), [state = state_] {
       boost::system::error_code ignored;
       state->acceptor.close(ignored);
-      for (tcp::socket* socket : state->open) socket->close(ignored);
+      for (tcp::socket* socket : state->open_sockets) socket->close(ignored);
     });
     state_->closed = true;
   }
@@ -118,7 +120,7 @@
     Address address;
     EventLoop::Handler handler;
     Traffic& traffic;
-    std::set<tcp::socket*> open;
+    std::set<tcp::socket*> open_sockets;
     std::atomic<bool> closed{false};
   };
 
@@ -137,7 +139,7 @@
 
   static asio::awaitable<void> Serve(std::shared_ptr<State> state, tcp::socket socket) {
     beast::tcp_stream stream(std::move(socket));
-    state->open.insert(&stream.socket());
+    state->open_sockets.insert(&stream.socket());
     try {
       beast::flat_buffer buffer;
       while (!state->closed && co_await Answer(*state, stream, buffer)) {
@@ -145,20 +147,20 @@
     } catch (const boost::system::system_error&) {
       // The client closed the connection.
     }
-    state->open.erase(&stream.socket());
+    state->open_sockets.erase(&stream.socket());
   }
 
   static asio::awaitable<bool> Answer(State& state, beast::tcp_stream& stream,
                                       beast::flat_buffer& buffer) {
     http::request_parser<http::string_body> parser;
-    parser.body_limit(kMaxBody);
-    stream.expires_after(DurationOf(kIdle));
+    parser.body_limit(kMaxBodyBytes);
+    stream.expires_after(DurationOf(kIdleTimeout));
     const std::size_t read = co_await http::async_read(stream, buffer, parser, use_awaitable);
     ++state.traffic.messages_in;
     state.traffic.bytes_in += read;
     http::request<http::string_body> request = parser.release();
     if (state.closed) co_return false;  // the listener was destroyed
-    const bool keep = request.keep_alive();
+    const bool keep_alive_requested = request.keep_alive();
     const auto pending = std::make_shared<PendingReply>(stream.get_executor());
     state.handler({std::string(request.method_string()), std::string(request.target()),
                    std::move(request.body())},
@@ -168,32 +170,32 @@
                   });
     stream.expires_never();
     if (!pending->reply) {
-      boost::system::error_code woken;
-      co_await pending->wake.async_wait(asio::redirect_error(use_awaitable, woken));
+      boost::system::error_code wait_error;
+      co_await pending->wake.async_wait(asio::redirect_error(use_awaitable, wait_error));
     }
     if (state.closed || !pending->reply) co_return false;
     http::response<http::string_body> response(static_cast<http::status>(pending->reply->status),
                                                kHttp11);
-    response.keep_alive(keep);
+    response.keep_alive(keep_alive_requested);
     response.body() = std::move(pending->reply->body);
     response.prepare_payload();
-    stream.expires_after(DurationOf(kIdle));
+    stream.expires_after(DurationOf(kIdleTimeout));
     const std::size_t written = co_await http::async_write(stream, response, use_awaitable);
     ++state.traffic.messages_out;
     state.traffic.bytes_out += written;
-    co_return keep;
+    co_return keep_alive_requested;
   }
 
   std::shared_ptr<State> state_;
 };
 
-class AsioCaller : public EventLoop::Caller {
+class AsioClientConnection : public EventLoop::ClientConnection {
  public:
-  AsioCaller(asio::io_context& io, const tcp::endpoint& endpoint, Traffic& traffic)
+  AsioClientConnection(asio::io_context& io, const tcp::endpoint& endpoint, Traffic& traffic)
       : state_(std::make_shared<State>(io, endpoint, traffic)) {}
-  ~AsioCaller() override {
+  ~AsioClientConnection() override {
     state_->alive = false;
-    asio::post(state_->io, [state = state_] { state->Drop(); });
+    asio::post(state_->io, [state = state_] { state->CloseStream(); });
   }
   void Call(HttpCall call, Seconds timeout, std::function<void(const HttpOutcome&)> done) override {
     state_->busy = true;
@@ -206,7 +208,7 @@
   struct State {
     State(asio::io_context& context, tcp::endpoint to, Traffic& counts)
         : io(context), endpoint(std::move(to)), traffic(counts) {}
-    void Drop() {
+    void CloseStream() {
       if (!stream) return;
       boost::system::error_code ignored;
       stream->socket().close(ignored);
@@ -222,7 +224,7 @@
   };
 
   // Whether the server has closed the persistent connection or sent unrequested bytes.
-  static bool Stale(beast::tcp_stream& stream) {
+  static bool IsStale(beast::tcp_stream& stream) {
     char byte = 0;
     boost::system::error_code error;
     stream.socket().non_blocking(true);
@@ -235,23 +237,24 @@
                                         std::function<void(const HttpOutcome&)> done) {
     HttpOutcome outcome;
     try {
-      co_await Try(*state, call, timeout, outcome);
+      co_await SendAndReceive(*state, call, timeout, outcome);
     } catch (const boost::system::system_error&) {
       outcome = {};
-      state->Drop();
+      state->CloseStream();
     }
     state->busy = false;
     if (state->alive) done(outcome);
   }
 
-  static asio::awaitable<void> Try(State& state, const HttpCall& call, Seconds timeout,
-                                   HttpOutcome& outcome) {
-    if (state.stream && Stale(*state.stream)) state.Drop();
+  static asio::awaitable<void> SendAndReceive(State& state, const HttpCall& call, Seconds timeout,
+                                              HttpOutcome& outcome) {
+    if (state.stream && IsStale(*state.stream)) state.CloseStream();
     if (!state.stream) {
       state.stream = std::make_shared<beast::tcp_stream>(state.io);
       state.buffer.clear();
     }
-    const std::shared_ptr<beast::tcp_stream> stream = state.stream;  // keeps the stream alive during CloseStream
+    // Keeps the stream alive if CloseStream is called meanwhile.
+    const std::shared_ptr<beast::tcp_stream> stream = state.stream;
     stream->expires_after(DurationOf(timeout));
     if (!stream->socket().is_open()) {
       co_await stream->async_connect(state.endpoint, use_awaitable);
@@ -266,7 +269,7 @@
     ++state.traffic.messages_out;
     state.traffic.bytes_out += written;
     http::response_parser<http::string_body> parser;
-    parser.body_limit(kMaxBody);
+    parser.body_limit(kMaxBodyBytes);
     const std::size_t read =
         co_await http::async_read(*stream, state.buffer, parser, use_awaitable);
     ++state.traffic.messages_in;
@@ -274,7 +277,7 @@
     const http::response<http::string_body> response = parser.release();
     outcome = {true, static_cast<int>(response.result_int()), response.body()};
     stream->expires_never();
-    if (!response.keep_alive()) state.Drop();
+    if (!response.keep_alive()) state.CloseStream();
   }
 
   std::shared_ptr<State> state_;
@@ -296,14 +299,14 @@
 
 Instant EventLoop::Now() { return SteadyNow(); }
 
-std::unique_ptr<EventLoop::Timer> EventLoop::MakeTimer(std::function<void()> due) {
-  return std::make_unique<AsioTimer>(impl_->io, std::move(due));
+std::unique_ptr<EventLoop::Timer> EventLoop::MakeTimer(std::function<void()> callback) {
+  return std::make_unique<AsioTimer>(impl_->io, std::move(callback));
 }
 
-void EventLoop::After(Seconds delay, std::function<void()> due) {
+void EventLoop::After(Seconds delay, std::function<void()> callback) {
   const auto timer = std::make_shared<asio::steady_timer>(impl_->io);
   timer->expires_after(DurationOf(delay));
-  timer->async_wait([timer, call = std::move(due)](const boost::system::error_code& error) {
+  timer->async_wait([timer, call = std::move(callback)](const boost::system::error_code& error) {
     if (!error) call();
   });
 }
@@ -318,8 +321,9 @@
   }
 }
 
-std::unique_ptr<EventLoop::Caller> EventLoop::MakeCaller(const Address& address, Traffic& traffic) {
-  return std::make_unique<AsioCaller>(impl_->io, EndpointOf(address), traffic);
+std::unique_ptr<EventLoop::ClientConnection> EventLoop::MakeClientConnection(const Address& address,
+                                                                             Traffic& traffic) {
+  return std::make_unique<AsioClientConnection>(impl_->io, EndpointOf(address), traffic);
 }
 
 }  // namespace magpie::load_test
--- a/src/load_test/event_loop.h
+++ b/src/load_test/event_loop.h
@@ -61,14 +61,14 @@
     virtual ~Timer() = default;
     virtual void Set(Instant at) = 0;
   };
-  std::unique_ptr<Timer> MakeTimer(std::function<void()> due);
+  std::unique_ptr<Timer> MakeTimer(std::function<void()> callback);
   // Calls back once, if the loop is still running then.
-  void After(Seconds delay, std::function<void()> due);
+  void After(Seconds delay, std::function<void()> callback);
 
   // Answers requests until it is destroyed, which closes all its connections. A handler replies at
   // most once, possibly later. Without a reply the connection is closed after a timeout.
-  using ReplyTo = std::function<void(HttpReply)>;
-  using Handler = std::function<void(const HttpCall&, ReplyTo)>;
+  using ReplyCallback = std::function<void(HttpReply)>;
+  using Handler = std::function<void(const HttpCall&, ReplyCallback)>;
   class Listener {
    public:
     virtual ~Listener() = default;
@@ -78,14 +78,14 @@
   std::unique_ptr<Listener> Listen(const Address& address, Handler handler, Traffic& traffic);
 
   // A persistent connection with one request at a time. There are no callbacks after destruction.
-  class Caller {
+  class ClientConnection {
    public:
-    virtual ~Caller() = default;
+    virtual ~ClientConnection() = default;
     virtual void Call(HttpCall call, Seconds timeout,
                       std::function<void(const HttpOutcome&)> done) = 0;
     virtual bool busy() const = 0;
   };
-  std::unique_ptr<Caller> MakeCaller(const Address& address, Traffic& traffic);
+  std::unique_ptr<ClientConnection> MakeClientConnection(const Address& address, Traffic& traffic);
 
  private:
   struct Impl;
--- a/src/load_test/fault_schedule.cc
+++ b/src/load_test/fault_schedule.cc
@@ -7,7 +7,7 @@
 
 namespace magpie::load_test {
 
-void FaultSchedule::Plan(const std::vector<Fault>& faults, Instant from) {
+void FaultSchedule::Schedule(const std::vector<Fault>& faults, Instant from) {
   for (const Fault& fault : faults)
     actions_.push_back({from + fault.at, [this, fault] { Inject(fault); }});
 }
@@ -27,36 +27,36 @@
 void FaultSchedule::Inject(const Fault& fault) {
   switch (fault.kind) {
     case Fault::Kind::kKillLeader:
-      return KillController(true, fault.lasts);
+      return KillController(true, fault.duration);
     case Fault::Kind::kKillController:
-      return KillController(false, fault.lasts);
+      return KillController(false, fault.duration);
     case Fault::Kind::kRack:
     case Fault::Kind::kZone:
-      return SilenceMachines(fault);
+      return MakeMachinesUnreachable(fault);
     case Fault::Kind::kMachines:
       return RestartMachines(fault);
     case Fault::Kind::kOutage:
-      return StartOutage(fault.lasts);
+      return StartOutage(fault.duration);
   }
 }
 
-void FaultSchedule::KillController(bool leader, Seconds down) {
-  const std::string leading = targets_.leadership.Leader();
-  const auto killed = targets_.controllers.Kill(leading, leader);
+void FaultSchedule::KillController(bool leader, Seconds downtime) {
+  const std::string leader_label = targets_.leadership.Leader();
+  const auto killed = targets_.controllers.Kill(leader_label, leader);
   if (!killed) return;
   const Instant now = EventLoop::Now();
-  if (leader) targets_.leadership.NoteLeaderKilled(leading, now);
+  if (leader) targets_.leadership.RecordLeaderKill(leader_label, now);
   actions_.push_back(
-      {now + down, [this, index = *killed] { targets_.controllers.Restart(index); }});
+      {now + downtime, [this, index = *killed] { targets_.controllers.Restart(index); }});
 }
 
-void FaultSchedule::SilenceMachines(const Fault& fault) {
+void FaultSchedule::MakeMachinesUnreachable(const Fault& fault) {
   const std::size_t maximum =
       fault.kind == Fault::Kind::kZone ? std::numeric_limits<std::size_t>::max() : fault.count;
   const std::vector<MachineId> ids = MachinesIn(fault.zone, maximum);
-  for (const MachineId& id : ids) targets_.workers.SetSilent(id, true);
-  actions_.push_back({EventLoop::Now() + fault.lasts, [this, ids] {
-                        for (const MachineId& id : ids) targets_.workers.SetSilent(id, false);
+  for (const MachineId& id : ids) targets_.workers.SetUnreachable(id, true);
+  actions_.push_back({EventLoop::Now() + fault.duration, [this, ids] {
+                        for (const MachineId& id : ids) targets_.workers.SetUnreachable(id, false);
                       }});
 }
 
@@ -64,9 +64,9 @@
   const std::vector<MachineId> ids = MachinesIn(fault.zone, fault.count);
   const Instant now = EventLoop::Now();
   for (std::size_t i = 0; i < ids.size(); ++i) {
-    const double part = static_cast<double>(i) / static_cast<double>(ids.size());
+    const double fraction = static_cast<double>(i) / static_cast<double>(ids.size());
     actions_.push_back(
-        {now + part * fault.lasts, [this, id = ids[i]] { targets_.workers.Restart(id); }});
+        {now + fraction * fault.duration, [this, id = ids[i]] { targets_.workers.Restart(id); }});
   }
 }
 
--- a/src/load_test/fault_schedule.h
+++ b/src/load_test/fault_schedule.h
@@ -28,7 +28,7 @@
   explicit FaultSchedule(Targets targets) : targets_(targets) {}
 
   // Schedules the faults at their offsets from `from`.
-  void Plan(const std::vector<Fault>& faults, Instant from);
+  void Schedule(const std::vector<Fault>& faults, Instant from);
   // Runs all actions whose time has passed.
   void RunDue(Instant now);
   bool empty() const { return actions_.empty(); }
@@ -40,8 +40,8 @@
   };
 
   void Inject(const Fault& fault);
-  void KillController(bool leader, Seconds down);
-  void SilenceMachines(const Fault& fault);
+  void KillController(bool leader, Seconds downtime);
+  void MakeMachinesUnreachable(const Fault& fault);
   void RestartMachines(const Fault& fault);
   void StartOutage(Seconds length);
   void SetOutage(bool outage);
--- a/src/load_test/history.h
+++ b/src/load_test/history.h
@@ -22,13 +22,13 @@
 };
 
 // A task starts on a machine, after its image was fetched.
-struct TaskBegan {
+struct TaskStarted {
   MachineId machine;
   TaskId task;
 };
 
 // A task is no longer on the machine.
-struct TaskLeft {
+struct TaskEnded {
   MachineId machine;
   TaskId task;
   bool completed = false;
@@ -40,12 +40,12 @@
 };
 
 // The state of a job in a response.
-enum class AnsweredState : std::uint8_t {
-  kLive,  // queued or running
+enum class ReportedState : std::uint8_t {
+  kActive,  // queued or running
   kDone,
   kCancelled,
   kUnknown,   // 404
-  kRefused,   // 400 or 422 to a submission
+  kRejected,  // 400 or 422 to a submission
   kNoAnswer,  // any other status, or no response in time
 };
 
@@ -55,7 +55,7 @@
 struct UserAnswered {
   JobId job;
   UserRequest request = UserRequest::kPoll;
-  AnsweredState state = AnsweredState::kNoAnswer;
+  ReportedState state = ReportedState::kNoAnswer;
   Instant sent;  // the time of the request
 };
 
@@ -66,7 +66,8 @@
 
 struct Event {
   Instant at;
-  std::variant<MachineUp, TaskBegan, TaskLeft, JobSubmitted, UserAnswered, CancelRequested> what;
+  std::variant<MachineUp, TaskStarted, TaskEnded, JobSubmitted, UserAnswered, CancelRequested>
+      payload;
 };
 
 }  // namespace magpie::load_test
--- a/src/load_test/job_ledger.cc
+++ b/src/load_test/job_ledger.cc
@@ -6,17 +6,20 @@
 namespace {
 
 // Maps a task to a number from 0 to 1.
-double DrawFor(const JobId& job, std::uint32_t task) {
-  constexpr std::uint64_t kOdd = 0x9e3779b97f4a7c15;  // odd, from the golden ratio; spreads adjacent numbers
-  const std::uint64_t mixed = (std::hash<std::string>()(job.value) + task + 1) * kOdd;
-  constexpr int kKept = 53;  // mantissa bits of a double
-  return static_cast<double>(mixed >> (64 - kKept)) / static_cast<double>(1ULL << kKept);
+double HashToUnitInterval(const JobId& job, std::uint32_t task) {
+  // Odd, 2^64 divided by the golden ratio: spreads adjacent numbers.
+  constexpr std::uint64_t kHashMultiplier = 0x9e3779b97f4a7c15;
+  const std::uint64_t task_hash =
+      (std::hash<std::string>()(job.value) + task + 1) * kHashMultiplier;
+  constexpr int kMantissaBits = 53;  // of a double
+  return static_cast<double>(task_hash >> (64 - kMantissaBits)) /
+         static_cast<double>(1ULL << kMantissaBits);
 }
 
 }  // namespace
 
 Seconds RunTimeOf(const SubmittedJob& job, std::uint32_t task) {
-  const double factor = 1 + job.spread * (2 * DrawFor(job.spec.id, task) - 1);
+  const double factor = 1 + job.spread * (2 * HashToUnitInterval(job.spec.id, task) - 1);
   return factor * job.run_time;
 }
 
--- a/src/load_test/latency.h
+++ b/src/load_test/latency.h
@@ -17,11 +17,11 @@
   Latency(Latency&&) noexcept;
   Latency& operator=(Latency&&) noexcept;
 
-  void Add(Seconds took);
+  void Add(Seconds latency);
   std::uint64_t count() const { return count_; }
   Seconds worst() const { return worst_; }
   // Within 5 %; 0 without samples.
-  Seconds Quantile(double part) const;
+  Seconds Quantile(double fraction) const;
   // Count, median, 99th percentile and maximum, in seconds.
   nlohmann::json ToJson() const;
 
--- a/src/load_test/leadership_log.cc
+++ b/src/load_test/leadership_log.cc
@@ -13,13 +13,13 @@
       std::lock_guard lock(mutex_);
       if (!takeovers_.empty()) first_starts_.push_back({takeovers_.back().at, *started});
     }
-    recorder_.AwaitStart(at);
+    recorder_.AwaitFirstStart(at);
     std::lock_guard lock(mutex_);
     takeovers_.push_back({change.value->value("leader", ""), at});
   }
 }
 
-void LeadershipLog::NoteLeaderKilled(const std::string& leader, Instant at) {
+void LeadershipLog::RecordLeaderKill(const std::string& leader, Instant at) {
   std::lock_guard lock(mutex_);
   kills_.push_back({leader, at});
 }
@@ -33,7 +33,7 @@
   std::lock_guard lock(mutex_);
   if (const auto started = recorder_.first_start_since())
     if (!takeovers_.empty()) first_starts_.push_back({takeovers_.back().at, *started});
-  nlohmann::json all = nlohmann::json::array();
+  nlohmann::json takeovers = nlohmann::json::array();
   for (const Takeover& kill : kills_) {
     nlohmann::json entry{{"killed", kill.leader}};
     const auto next = std::find_if(takeovers_.begin(), takeovers_.end(),
@@ -43,9 +43,9 @@
       for (const FirstStart& start : first_starts_)
         if (start.epoch_at == next->at) entry["first_start_after_s"] = (start.at - kill.at).value;
     }
-    all.push_back(std::move(entry));
+    takeovers.push_back(std::move(entry));
   }
-  return all;
+  return takeovers;
 }
 
 }  // namespace magpie::load_test
--- a/src/load_test/leadership_log.h
+++ b/src/load_test/leadership_log.h
@@ -20,7 +20,7 @@
 
   // Called for each committed transaction.
   void OnCommit(const Transaction& transaction, Instant at);
-  void NoteLeaderKilled(const std::string& leader, Instant at);
+  void RecordLeaderKill(const std::string& leader, Instant at);
   // The label of the leader; empty before the first epoch.
   std::string Leader();
   // For each killed leader, the time until the next epoch and until the first task start after it.
--- a/src/load_test/main.cc
+++ b/src/load_test/main.cc
@@ -15,18 +15,18 @@
 
 namespace {
 
-constexpr int kRunFailed = 1;
-constexpr int kBadInput = 2;
+constexpr int kExitRunFailed = 1;
+constexpr int kExitInvalidInput = 2;
 
 // Rewrites one progress line; prints nothing unless standard error is a terminal.
-void ShowProgress(double part, const std::string& words) {
-  static const bool watched = isatty(STDERR_FILENO) != 0;
-  if (!watched) return;
+void ShowProgress(double fraction, const std::string& status) {
+  static const bool is_terminal = isatty(STDERR_FILENO) != 0;
+  if (!is_terminal) return;
   constexpr int kWidth = 40;
-  const int done = static_cast<int>(part * kWidth);
-  std::cerr << "\r[" << std::string(static_cast<std::size_t>(done), '#')
-            << std::string(static_cast<std::size_t>(kWidth - done), '.') << "] " << words << "   "
-            << std::flush;
+  const int done_width = static_cast<int>(fraction * kWidth);
+  std::cerr << "\r[" << std::string(static_cast<std::size_t>(done_width), '#')
+            << std::string(static_cast<std::size_t>(kWidth - done_width), '.') << "] " << status
+            << "   " << std::flush;
 }
 
 int RunScenario(magpie::load_test::Scenario scenario, const std::string& file,
@@ -34,17 +34,17 @@
   magpie::load_test::Run run(std::move(scenario), file, out, ShowProgress);
   const nlohmann::json result = run.Execute();
   const std::filesystem::path path = std::filesystem::path(out) / "result.json";
-  std::ofstream written(path);
-  written << result.dump(2) << "\n";
-  written.close();
-  if (!written) {
+  std::ofstream output(path);
+  output << result.dump(2) << "\n";
+  output.close();
+  if (!output) {
     std::cerr << path.string() << ": cannot write the result file\n";
-    return kBadInput;
+    return kExitInvalidInput;
   }
   std::cerr << "\n";
-  for (const auto& why : result["why"]) std::cerr << why.get<std::string>() << "\n";
+  for (const auto& failure : result["why"]) std::cerr << failure.get<std::string>() << "\n";
   std::cout << path.string() << "\n";
-  return result["ok"].get<bool>() ? 0 : kRunFailed;
+  return result["ok"].get<bool>() ? 0 : kExitRunFailed;
 }
 
 }  // namespace
@@ -70,7 +70,7 @@
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& e) {
-    return app.exit(e) == 0 ? 0 : kBadInput;
+    return app.exit(e) == 0 ? 0 : kExitInvalidInput;
   }
   try {
     magpie::load_test::Scenario scenario = magpie::load_test::LoadScenario(file);
@@ -80,12 +80,12 @@
     if (!binary.empty()) scenario.binary = binary;
     magpie::load_test::CheckCommandLine(scenario, file);
     return RunScenario(std::move(scenario), file, out);
-  } catch (const magpie::load_test::BadScenario& e) {
+  } catch (const magpie::load_test::InvalidScenario& e) {
     std::cerr << e.what() << "\n";
-  } catch (const magpie::load_test::CannotRun& e) {
+  } catch (const magpie::load_test::RunSetupError& e) {
     std::cerr << e.what() << "\n";
   } catch (const std::filesystem::filesystem_error& e) {
     std::cerr << out << ": " << e.code().message() << "\n";
   }
-  return kBadInput;
+  return kExitInvalidInput;
 }
--- a/src/load_test/networked_worker.h
+++ b/src/load_test/networked_worker.h
@@ -1,5 +1,5 @@
-// A simulated worker on the network: sends heartbeats to controllers over persistent connections and
-// serves direct commands, on the thread of its loop.
+// A simulated worker on the network: sends heartbeats to controllers over persistent connections
+// and serves direct commands, on the thread of its loop.
 #pragma once
 
 #include <cstdint>
@@ -23,7 +23,7 @@
 };
 
 // Settings and counters that all workers of a run share. All loops add to the counters.
-struct WorkerSite {
+struct WorkerContext {
   std::vector<Node> nodes;
   std::vector<MachineType> types;
   Seconds heartbeat_interval{3};
@@ -34,7 +34,7 @@
   // Direct commands and their responses.
   Traffic commands;
   std::atomic<std::uint64_t> redirects{0};
-  std::atomic<std::uint64_t> refusals{0};           // direct commands answered with an error
+  std::atomic<std::uint64_t> rejected_commands{0};  // direct commands answered with an error
   std::atomic<std::uint64_t> failed_heartbeats{0};  // no response, or an unexpected status
 };
 
@@ -42,7 +42,7 @@
  public:
   // `context`, `jobs` and `recorder` must outlive the worker. Any thread may create it; it is used
   // and destroyed on the loop's thread.
-  NetworkedWorker(EventLoop& loop, WorkerSite& site, const CloudMachine& machine,
+  NetworkedWorker(EventLoop& loop, WorkerContext& context, const CloudMachine& machine,
                   const JobLedger& jobs, Recorder& recorder);
 
   // The address where it listens from its creation on; none if it cannot listen.
@@ -50,35 +50,37 @@
   // Starts the worker after its machine has booted.
   void Begin();
   // While unreachable, the worker exchanges no messages in either direction.
-  void SetSilent(bool heartbeat_timeout);
+  void SetUnreachable(bool unreachable);
   // Powers the machine off: its tasks end, and the worker stays unreachable until Restart.
-  void Perish();
+  void PowerOff();
   // Restarts the machine. Its tasks are lost; agent epoch, sequence number and fencing token are
   // kept.
   void Restart();
 
  private:
   SimulatedWorker::Options OptionsOf() const;
-  void OnRequest(const HttpCall& call, const EventLoop::ReplyTo& reply);
-  void Act();
-  void Send(const agent::Worker::Outgoing& out);
+  void OnRequest(const HttpCall& call, const EventLoop::ReplyCallback& reply);
+  void OnTimer();
+  void Send(const agent::Worker::Outgoing& outgoing);
   void OnOutcome(const HttpOutcome& outcome);
   void Schedule();
-  EventLoop::Caller& CallerTo(const std::string& node);
+  EventLoop::ClientConnection& ConnectionTo(const std::string& node);
 
   EventLoop& loop_;
-  WorkerSite& site_;
+  WorkerContext& worker_context_;
   CloudMachine machine_;
   const JobLedger& jobs_;
   Recorder& recorder_;
   std::unique_ptr<EventLoop::Listener> listener_;
-  std::unique_ptr<SimulatedWorker> worker_;  // null before the boot and while powered off
-  agent::Worker::DurableState memory_;       // kept across restarts
-  std::map<std::string, std::unique_ptr<EventLoop::Caller>> callers_;
+  std::unique_ptr<SimulatedWorker> worker_;    // null before the boot and while powered off
+  agent::Worker::DurableState durable_state_;  // kept across restarts
+  std::map<std::string, std::unique_ptr<EventLoop::ClientConnection>> connections_;
   std::unique_ptr<EventLoop::Timer> timer_;
-  std::shared_ptr<int> alive_ = std::make_shared<int>(0);  // expires at destruction, for delayed callbacks
-  std::uint64_t life_ = 0;  // incremented by PowerOff; responses to earlier incarnations are ignored
-  bool silent_ = false;
+  // Lets delayed callbacks detect the destruction of the worker.
+  std::shared_ptr<int> alive_ = std::make_shared<int>(0);
+  // Incremented by PowerOff. Responses to earlier incarnations are ignored.
+  std::uint64_t incarnation_ = 0;
+  bool unreachable_ = false;
 };
 
 }  // namespace magpie::load_test
--- a/src/load_test/rate_limit.h
+++ b/src/load_test/rate_limit.h
@@ -10,23 +10,26 @@
 class RateLimit {
  public:
   // A rate of 0 means no limit.
-  RateLimit(double a_second, Seconds burst)
-      : a_second_(a_second), max_(std::max(1.0, a_second * burst.value)), left_(max_) {}
+  RateLimit(double per_second, Seconds burst)
+      : per_second_(per_second),
+        capacity_(std::max(1.0, per_second * burst.value)),
+        available_(capacity_) {}
 
   // Takes `count` tokens if all of them are available, else none.
-  bool Take(double count, Instant now) {
-    if (a_second_ <= 0) return true;
-    left_ = std::min(max_, left_ + a_second_ * std::max(0.0, (now - refilled_).value));
+  bool TryAcquire(double count, Instant now) {
+    if (per_second_ <= 0) return true;
+    available_ =
+        std::min(capacity_, available_ + per_second_ * std::max(0.0, (now - refilled_).value));
     refilled_ = now;
-    if (left_ < count) return false;
-    left_ -= count;
+    if (available_ < count) return false;
+    available_ -= count;
     return true;
   }
 
  private:
-  double a_second_;
-  double max_;
-  double left_;
+  double per_second_;
+  double capacity_;
+  double available_;
   Instant refilled_;
 };
 
--- a/src/load_test/recorder.cc
+++ b/src/load_test/recorder.cc
@@ -6,23 +6,24 @@
 
 Recorder::Recorder(Checker::Options options) : checker_(std::move(options)) {}
 
-Instant Recorder::Clock() { return EventLoop::Now(); }
+Instant Recorder::CurrentTime() { return EventLoop::Now(); }
 
-void Recorder::OnTaskBegan(const MachineId& machine, const TaskId& task, Attempt, Instant) {
-  Record(TaskBegan{machine, task});
+void Recorder::OnTaskStarted(const MachineId& machine, const TaskId& task, Attempt, Instant) {
+  Record(TaskStarted{machine, task});
 }
 
-void Recorder::OnTaskLeft(const MachineId& machine, const TaskId& task, Attempt, bool completed,
-                          Instant) {
-  Record(TaskLeft{machine, task, completed});
+void Recorder::OnTaskEnded(const MachineId& machine, const TaskId& task, Attempt, bool completed,
+                           Instant) {
+  Record(TaskEnded{machine, task, completed});
 }
 
-void Recorder::Take(const Event& event) {
-  if (const auto* submitted = std::get_if<JobSubmitted>(&event.what))
+void Recorder::ProcessEvent(const Event& event) {
+  if (const auto* submitted = std::get_if<JobSubmitted>(&event.payload))
     CountSubmission(*submitted, event.at);
-  if (const auto* began = std::get_if<TaskBegan>(&event.what)) CountStart(*began, event.at);
-  if (const auto* left = std::get_if<TaskLeft>(&event.what)) {
-    completed_ += left->completed ? 1 : 0;
+  if (const auto* started = std::get_if<TaskStarted>(&event.payload))
+    CountStart(*started, event.at);
+  if (const auto* ended = std::get_if<TaskEnded>(&event.payload)) {
+    completed_ += ended->completed ? 1 : 0;
     --on_machines_;
   }
   checker_.Observe(event);
@@ -32,10 +33,10 @@
   jobs_[event.spec.id.value] = {at, event.spec.job_class, std::vector<bool>(event.spec.tasks)};
 }
 
-void Recorder::CountStart(const TaskBegan& event, Instant at) {
+void Recorder::CountStart(const TaskStarted& event, Instant at) {
   ++on_machines_;
   ++started_;
-  if (awaited_from_ && !awaited_ && at >= *awaited_from_) awaited_ = at;
+  if (first_start_from_ && !first_start_ && at >= *first_start_from_) first_start_ = at;
   const auto job = jobs_.find(event.task.job.value);
   if (job == jobs_.end() || event.task.index >= job->second.started.size()) return;
   if (job->second.started[event.task.index]) return;  // a later attempt
@@ -46,7 +47,7 @@
   start_by_class_[job->second.job_class].Add(took);
 }
 
-void Recorder::NoteAccepted(Seconds took) {
+void Recorder::RecordAcceptance(Seconds took) {
   std::lock_guard lock(mutex_);
   if (measuring_) accept_.Add(took);
 }
@@ -58,15 +59,15 @@
   accept_ = {};
 }
 
-void Recorder::AwaitStart(Instant from) {
+void Recorder::AwaitFirstStart(Instant from) {
   std::lock_guard lock(mutex_);
-  awaited_from_ = from;
-  awaited_.reset();
+  first_start_from_ = from;
+  first_start_.reset();
 }
 
 std::optional<Instant> Recorder::first_start_since() {
   std::lock_guard lock(mutex_);
-  return awaited_;
+  return first_start_;
 }
 
 std::uint64_t Recorder::started() {
@@ -86,24 +87,24 @@
 
 void Recorder::Finish() {
   std::lock_guard lock(mutex_);
-  checker_.Finish(Clock());
+  checker_.Finish(CurrentTime());
 }
 
-Recorder::Figures Recorder::figures() {
+Recorder::Statistics Recorder::statistics() {
   std::lock_guard lock(mutex_);
-  Figures figures;
-  figures.start_by_class = nlohmann::json::object();
+  Statistics statistics;
+  statistics.start_by_class = nlohmann::json::object();
   for (const auto& [name, latency] : start_by_class_)
-    figures.start_by_class[name] = latency.ToJson();
-  figures.start = start_.ToJson();
-  figures.accept = accept_.ToJson();
-  figures.started = started_;
-  figures.completed = completed_;
+    statistics.start_by_class[name] = latency.ToJson();
+  statistics.start = start_.ToJson();
+  statistics.accept = accept_.ToJson();
+  statistics.started = started_;
+  statistics.completed = completed_;
   for (const auto& [rule, count] : checker_.violation_counts())
-    figures.violation_counts[NameOf(rule)] = count;
+    statistics.violation_counts[RuleName(rule)] = count;
   for (const Violation& violation : checker_.violations())
-    figures.violations.push_back(std::string(NameOf(violation.rule)) + ": " + violation.text);
-  return figures;
+    statistics.violations.push_back(std::string(RuleName(violation.rule)) + ": " + violation.text);
+  return statistics;
 }
 
 }  // namespace magpie::load_test
--- a/src/load_test/recorder.h
+++ b/src/load_test/recorder.h
@@ -21,21 +21,21 @@
  public:
   explicit Recorder(Checker::Options options);
 
-  template <typename What>
-  void Record(What what) {
+  template <typename Payload>
+  void Record(Payload payload) {
     std::lock_guard lock(mutex_);
-    Take({Clock(), std::move(what)});
+    ProcessEvent({CurrentTime(), std::move(payload)});
   }
-  void OnTaskBegan(const MachineId& machine, const TaskId& task, Attempt attempt,
+  void OnTaskStarted(const MachineId& machine, const TaskId& task, Attempt attempt,
+                     Instant now) override;
+  void OnTaskEnded(const MachineId& machine, const TaskId& task, Attempt attempt, bool completed,
                    Instant now) override;
-  void OnTaskLeft(const MachineId& machine, const TaskId& task, Attempt attempt, bool completed,
-                  Instant now) override;
   // Adds the time from a user's first submission attempt to the acceptance of the job.
-  void NoteAccepted(Seconds took);
+  void RecordAcceptance(Seconds took);
   // Drops the latencies recorded so far.
   void BeginMeasuring();
   // Awaits the first task start after `from`, which shows that a new leader assigns tasks.
-  void AwaitStart(Instant from);
+  void AwaitFirstStart(Instant from);
   std::optional<Instant> first_start_since();
 
   std::uint64_t started();
@@ -43,7 +43,7 @@
   std::size_t on_machines();
   void Finish();
 
-  struct Figures {
+  struct Statistics {
     nlohmann::json start_by_class;  // from the first submission to a task's first start
     nlohmann::json start;
     nlohmann::json accept;
@@ -52,7 +52,7 @@
     std::map<std::string, std::uint64_t> violation_counts;  // by rule
     std::vector<std::string> violations;
   };
-  Figures figures();
+  Statistics statistics();
 
  private:
   struct JobTimes {
@@ -61,10 +61,10 @@
     std::vector<bool> started;
   };
 
-  static Instant Clock();
-  void Take(const Event& event);
+  static Instant CurrentTime();
+  void ProcessEvent(const Event& event);
   void CountSubmission(const JobSubmitted& event, Instant at);
-  void CountStart(const TaskBegan& event, Instant at);
+  void CountStart(const TaskStarted& event, Instant at);
 
   std::mutex mutex_;
   Checker checker_;
@@ -76,8 +76,8 @@
   std::uint64_t completed_ = 0;
   std::size_t on_machines_ = 0;
   bool measuring_ = true;
-  std::optional<Instant> awaited_from_;
-  std::optional<Instant> awaited_;
+  std::optional<Instant> first_start_from_;
+  std::optional<Instant> first_start_;
 };
 
 }  // namespace magpie::load_test
--- a/src/load_test/results.cc
+++ b/src/load_test/results.cc
@@ -11,13 +11,13 @@
   Rates(const Sample& begin, const Sample& end) : seconds_((end.at - begin.at).value) {}
 
   double seconds() const { return seconds_; }
-  double Of(std::uint64_t begin, std::uint64_t end) const {
+  double PerSecond(std::uint64_t begin, std::uint64_t end) const {
     return static_cast<double>(end - begin) / seconds_;
   }
-  nlohmann::json Of(const TrafficTotals& begin, const TrafficTotals& end,
-                    double participants = 1) const {
+  nlohmann::json PerSecond(const TrafficTotals& begin, const TrafficTotals& end,
+                           double participants = 1) const {
     const auto rate = [&](std::uint64_t from, std::uint64_t to) {
-      return Of(from, to) / participants;
+      return PerSecond(from, to) / participants;
     };
     return {{"messages_in", rate(begin.messages_in, end.messages_in)},
             {"bytes_in", rate(begin.bytes_in, end.bytes_in)},
@@ -32,23 +32,23 @@
 // The reasons for which the run failed, one line each.
 nlohmann::json FailuresOf(const Scenario& scenario, const Measurements& measured) {
   nlohmann::json failures = nlohmann::json::array();
-  for (const auto& [rule, count] : measured.figures.violation_counts)
+  for (const auto& [rule, count] : measured.statistics.violation_counts)
     failures.push_back(rule + " broken " + std::to_string(count) + " times");
-  const bool all_over =
+  const bool all_jobs_ended =
       scenario.max_jobs == 0 ||
       (measured.open_jobs == 0 && measured.users.given_up == 0 && measured.users.refused == 0);
-  if (!all_over) failures.push_back("jobs are left that are not over");
-  if (measured.figures.started < scenario.least_starts)
+  if (!all_jobs_ended) failures.push_back("some jobs did not end");
+  if (measured.statistics.started < scenario.min_starts)
     failures.push_back("fewer starts than least_starts");
-  if (measured.unexpected_exits > 0) failures.push_back("controllers ended by themselves");
+  if (measured.unexpected_exits > 0) failures.push_back("controllers exited unexpectedly");
   return failures;
 }
 
 nlohmann::json TasksToJson(const Measurements& measured, const Rates& rates) {
-  return {{"started", measured.figures.started},
-          {"completed", measured.figures.completed},
-          {"starts_a_second", rates.Of(measured.begin.started, measured.end.started)},
-          {"ends_a_second", rates.Of(measured.begin.completed, measured.end.completed)},
+  return {{"started", measured.statistics.started},
+          {"completed", measured.statistics.completed},
+          {"starts_a_second", rates.PerSecond(measured.begin.started, measured.end.started)},
+          {"ends_a_second", rates.PerSecond(measured.begin.completed, measured.end.completed)},
           {"on_machines", measured.tasks_on_machines}};
 }
 
@@ -71,8 +71,8 @@
 nlohmann::json WorkersToJson(const Scenario& scenario, const Measurements& measured,
                              const Rates& rates) {
   const double workers = std::max<std::uint32_t>(1, scenario.workers);
-  return {{"reports", rates.Of(measured.begin.heartbeats, measured.end.heartbeats, workers)},
-          {"commands", rates.Of(measured.begin.commands, measured.end.commands, workers)},
+  return {{"reports", rates.PerSecond(measured.begin.heartbeats, measured.end.heartbeats, workers)},
+          {"commands", rates.PerSecond(measured.begin.commands, measured.end.commands, workers)},
           {"redirects", measured.redirects},
           {"refused_commands", measured.refused_commands},
           {"failed_reports", measured.failed_heartbeats}};
@@ -80,7 +80,7 @@
 
 nlohmann::json UsersToJson(const Measurements& measured, const Rates& rates) {
   const Users::Counts& users = measured.users;
-  return {{"traffic", rates.Of(measured.begin.user_requests, measured.end.user_requests)},
+  return {{"traffic", rates.PerSecond(measured.begin.user_requests, measured.end.user_requests)},
           {"submitted", users.submitted},
           {"accepted", users.accepted},
           {"refused", users.refused},
@@ -88,18 +88,18 @@
           {"done", users.done},
           {"cancelled", users.cancelled},
           {"open", measured.open_jobs},
-          {"polls_a_second", rates.Of(measured.begin.users.polls, measured.end.users.polls)},
+          {"polls_a_second", rates.PerSecond(measured.begin.users.polls, measured.end.users.polls)},
           {"unanswered", users.unanswered}};
 }
 
 nlohmann::json StateToJson(const Measurements& measured, const Rates& rates) {
   const StateServer::Counts& begin = measured.begin.state;
   const StateServer::Counts& end = measured.end.state;
-  return {{"traffic", rates.Of(measured.begin.state_requests, measured.end.state_requests)},
-          {"requests_a_second", rates.Of(begin.requests, end.requests)},
-          {"transactions_a_second", rates.Of(begin.commits, end.commits)},
-          {"changes_a_second", rates.Of(begin.operations, end.operations)},
-          {"transaction_bytes_a_second", rates.Of(begin.value_bytes, end.value_bytes)},
+  return {{"traffic", rates.PerSecond(measured.begin.state_requests, measured.end.state_requests)},
+          {"requests_a_second", rates.PerSecond(begin.requests, end.requests)},
+          {"transactions_a_second", rates.PerSecond(begin.commits, end.commits)},
+          {"changes_a_second", rates.PerSecond(begin.operations, end.operations)},
+          {"transaction_bytes_a_second", rates.PerSecond(begin.value_bytes, end.value_bytes)},
           {"conflicts", end.conflicts},
           {"over_rate", end.rate_limited},
           {"keys", measured.keys}};
@@ -107,7 +107,7 @@
 
 nlohmann::json CloudToJson(const Measurements& measured, const Rates& rates) {
   const CloudServer::Counts& end = measured.end.cloud;
-  return {{"requests_a_second", rates.Of(measured.begin.cloud.requests, end.requests)},
+  return {{"requests_a_second", rates.PerSecond(measured.begin.cloud.requests, end.requests)},
           {"over_rate", end.rate_limited},
           {"rented", end.rented},
           {"released", end.released}};
@@ -135,9 +135,9 @@
                    {"starts_wanted", scenario.starts},         {"seconds", rates.seconds()},
                    {"controllers", measured.controller_count}, {"load", measured.load_average}};
   result["tasks"] = TasksToJson(measured, rates);
-  result["start_s"] = measured.figures.start;
-  result["start_s_by_class"] = measured.figures.start_by_class;
-  result["accept_s"] = measured.figures.accept;
+  result["start_s"] = measured.statistics.start;
+  result["start_s_by_class"] = measured.statistics.start_by_class;
+  result["accept_s"] = measured.statistics.accept;
   result["leader"] = LeaderToJson(measured);
   result["follower"] = FollowersToJson(measured, rates);
   result["worker"] = WorkersToJson(scenario, measured, rates);
@@ -145,8 +145,8 @@
   result["state"] = StateToJson(measured, rates);
   result["cloud"] = CloudToJson(measured, rates);
   result["takeovers"] = measured.takeovers;
-  result["rules_broken"] = measured.figures.violation_counts;
-  result["violations"] = measured.figures.violations;
+  result["rules_broken"] = measured.statistics.violation_counts;
+  result["violations"] = measured.statistics.violations;
   result["this_program"] = {
       {"cores", (measured.end.own_cpu_s - measured.begin.own_cpu_s) / rates.seconds()},
       {"peak_mb", measured.own_peak_mb}};
--- a/src/load_test/results.h
+++ b/src/load_test/results.h
@@ -47,7 +47,7 @@
   std::string scenario_file;
   Sample begin;
   Sample end;
-  Recorder::Figures figures;
+  Recorder::Statistics statistics;
   // Taken after the drain: when no job is open, or after the drain timeout.
   Users::Counts users;
   std::size_t open_jobs = 0;
--- a/src/load_test/run.cc
+++ b/src/load_test/run.cc
@@ -13,8 +13,8 @@
 namespace magpie::load_test {
 namespace {
 
-constexpr Seconds kStep{0.1};          // between two checks of faults and controllers
-constexpr Seconds kLongestDrain{180};  // for open jobs at the end of a run
+constexpr Seconds kCheckInterval{0.1};  // between two checks of faults and controllers
+constexpr Seconds kDrainTimeout{180};   // for open jobs at the end of a run
 constexpr double kWarmUpProgress = 0.2;
 
 void Sleep(Seconds duration) {
@@ -24,9 +24,9 @@
 double OwnCpuSeconds() {
   rusage usage{};
   getrusage(RUSAGE_SELF, &usage);
-  constexpr double kMicro = 1e-6;
+  constexpr double kSecondsPerUs = 1e-6;
   const auto seconds = [](const timeval& time) {
-    return static_cast<double>(time.tv_sec) + kMicro * static_cast<double>(time.tv_usec);
+    return static_cast<double>(time.tv_sec) + kSecondsPerUs * static_cast<double>(time.tv_usec);
   };
   return seconds(usage.ru_utime) + seconds(usage.ru_stime);
 }
@@ -40,11 +40,11 @@
 Checker::Options CheckerOptions(const Scenario& scenario) {
   Checker::Options options;
   options.teams = scenario.teams;
-  options.cancel = scenario.cancel;
+  options.cancel_timeout = scenario.cancel;
   return options;
 }
 
-std::vector<const Traffic*> PointersTo(const std::vector<std::unique_ptr<Traffic>>& all) {
+std::vector<const Traffic*> TrafficPointers(const std::vector<std::unique_ptr<Traffic>>& all) {
   std::vector<const Traffic*> pointers;
   for (const auto& traffic : all) pointers.push_back(traffic.get());
   return pointers;
@@ -87,14 +87,14 @@
   ExecuteUntil(EventLoop::Now() + scenario_.warm_up, 0, kWarmUpProgress);
   recorder_.BeginMeasuring();
   const Sample begin = TakeSample();
-  faults_->Plan(scenario_.faults, EventLoop::Now());
+  faults_->Schedule(scenario_.faults, EventLoop::Now());
   ExecuteUntil(EventLoop::Now() + scenario_.measured, kWarmUpProgress, 1);
   const Sample end = TakeSample();
   CallOnLoop(users_loop_, [this] {
     users_->StopArrivals();
     return true;
   });
-  if (scenario_.max_jobs > 0) ExecuteUntil(EventLoop::Now() + kLongestDrain, 1, 1);
+  if (scenario_.max_jobs > 0) ExecuteUntil(EventLoop::Now() + kDrainTimeout, 1, 1);
   recorder_.Finish();
   return ResultsToJson(scenario_, Measure(begin, end));
 }
@@ -102,17 +102,18 @@
 void Run::ExecuteUntil(Instant end, double progress_from, double progress_to) {
   const Instant begin = EventLoop::Now();
   while (EventLoop::Now() < end) {
-    Sleep(kStep);
+    Sleep(kCheckInterval);
     MeasureControllers();
     controllers_.RestartUnexpectedlyEnded();
     const Instant now = EventLoop::Now();
     faults_->RunDue(now);
-    const double part = (now - begin).value / std::max(kStep.value, (end - begin).value);
-    progress_(progress_from + (progress_to - progress_from) * std::min(1.0, part),
-              std::to_string(recorder_.on_machines()) + " tasks run, " +
+    const double fraction =
+        (now - begin).value / std::max(kCheckInterval.value, (end - begin).value);
+    progress_(progress_from + (progress_to - progress_from) * std::min(1.0, fraction),
+              std::to_string(recorder_.on_machines()) + " tasks running, " +
                   std::to_string(recorder_.started()) + " started");
-    const bool over = CallOnLoop(users_loop_, [this] { return users_->finished(); });
-    if (scenario_.max_jobs > 0 && over && faults_->empty()) return;
+    const bool jobs_finished = CallOnLoop(users_loop_, [this] { return users_->finished(); });
+    if (scenario_.max_jobs > 0 && jobs_finished && faults_->empty()) return;
   }
 }
 
@@ -135,9 +136,9 @@
   sample.users = CallOnLoop(users_loop_, [this] { return users_->counts(); });
   sample.controllers = controllers_.usage();
   sample.own_cpu_s = OwnCpuSeconds();
-  sample.heartbeats = SumOf(PointersTo(site_.heartbeats));
-  sample.commands = SumOf({&site_.commands});
-  sample.user_requests = SumOf(PointersTo(user_traffic_));
+  sample.heartbeats = SumOf(TrafficPointers(worker_context_.heartbeats));
+  sample.commands = SumOf({&worker_context_.commands});
+  sample.user_requests = SumOf(TrafficPointers(user_traffic_));
   sample.state_requests = SumOf(state_requests);
   return sample;
 }
@@ -147,7 +148,7 @@
   measured.scenario_file = scenario_file_;
   measured.begin = begin;
   measured.end = end;
-  measured.figures = recorder_.figures();
+  measured.statistics = recorder_.statistics();
   measured.users = CallOnLoop(users_loop_, [this] { return users_->counts(); });
   measured.open_jobs = CallOnLoop(users_loop_, [this] { return users_->open(); });
   measured.keys = CallOnLoop(services_loop_, [this] { return state_->keys(); });
@@ -155,9 +156,9 @@
   measured.controllers = controllers_.usage();
   measured.controller_count = controllers_.size();
   measured.unexpected_exits = controllers_.unexpected_exits();
-  measured.redirects = site_.redirects.load();
-  measured.refused_commands = site_.refusals.load();
-  measured.failed_heartbeats = site_.failed_heartbeats.load();
+  measured.redirects = worker_context_.redirects.load();
+  measured.refused_commands = worker_context_.rejected_commands.load();
+  measured.failed_heartbeats = worker_context_.failed_heartbeats.load();
   measured.load_average = LoadAverage();
   if (const auto own = UsageOf(getpid())) measured.own_peak_mb = own->peak_mb;
   measured.takeovers = leadership_.TakeoversToJson();
--- a/src/load_test/run.h
+++ b/src/load_test/run.h
@@ -25,7 +25,7 @@
 namespace magpie::load_test {
 
 // Thrown if the run cannot start, with a one-line reason for the operator.
-class CannotRun : public std::runtime_error {
+class RunSetupError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
@@ -76,7 +76,7 @@
   JobLedger jobs_;
   Recorder recorder_;
   LeadershipLog leadership_;
-  WorkerSite site_;
+  WorkerContext worker_context_;
   std::vector<std::unique_ptr<Traffic>> user_traffic_;
   EventLoop services_loop_;
   EventLoop users_loop_;
--- a/src/load_test/run_setup.cc
+++ b/src/load_test/run_setup.cc
@@ -12,8 +12,8 @@
 namespace {
 
 constexpr Seconds kHealthCheckInterval{0.1};
-constexpr Seconds kHealthTimeout{60};   // for all controllers after their start
-constexpr Seconds kMachineIdle{86400};  // so that idle machines are not released during a run
+constexpr Seconds kHealthTimeout{60};          // for all controllers after their start
+constexpr Seconds kMachineIdleTimeout{86400};  // longer than a run: no machine is released
 
 }  // namespace
 
@@ -24,7 +24,7 @@
                                            leadership_.OnCommit(transaction, at);
                                          });
   Cloud::Options cloud = scenario_.cloud;
-  cloud.most_machines = scenario_.workers;
+  cloud.max_machines = scenario_.workers;
   cloud_ = std::make_unique<Cloud>(
       cloud, Cloud::Hooks{[this](const CloudMachine& machine) { return workers_->Add(machine); },
                           [this](const MachineId& id) { workers_->Begin(id); },
@@ -34,7 +34,7 @@
 
 void Run::SetUpControllers() {
   const std::optional<Address> cloud_address = cloud_server_->Serve();
-  if (!cloud_address) throw CannotRun("127.0.0.1: cannot listen");
+  if (!cloud_address) throw RunSetupError("127.0.0.1: cannot listen");
   std::vector<ControllerPlan> plans;
   for (std::uint32_t i = 0; i < scenario_.controllers.count; ++i) {
     plans.push_back(PlanController(i));
@@ -53,7 +53,7 @@
     *address = ports_.back()->address();
   }
   const std::optional<Address> state = state_->Serve(plan.label);
-  if (!state) throw CannotRun("127.0.0.1: cannot listen");
+  if (!state) throw RunSetupError("127.0.0.1: cannot listen");
   plan.state = *state;
   return plan;
 }
@@ -62,7 +62,7 @@
 std::string Run::PropertiesFile() const {
   if (!scenario_.controllers.properties.empty()) return scenario_.controllers.properties;
   const std::string properties = folder_ / "controllers.properties";
-  std::ofstream(properties) << "fleet.idle_s=" << kMachineIdle.value << "\n";
+  std::ofstream(properties) << "fleet.idle_s=" << kMachineIdleTimeout.value << "\n";
   return properties;
 }
 
@@ -77,16 +77,16 @@
                              std::vector<std::string>{scenario_.binary, "--properties", properties,
                                                       "--config", settings},
                              log));
-  site_.nodes.push_back({plan.label, plan.api});
-  site_.heartbeats.push_back(std::make_unique<Traffic>());
+  worker_context_.nodes.push_back({plan.label, plan.api});
+  worker_context_.heartbeats.push_back(std::make_unique<Traffic>());
   user_traffic_.push_back(std::make_unique<Traffic>());
 }
 
 void Run::SetUpWorkers() {
-  site_.types = scenario_.cloud.types;
-  site_.heartbeat_interval = scenario_.heartbeat_interval;
-  site_.lease = scenario_.lease;
-  workers_ = std::make_unique<WorkerPool>(scenario_.threads, site_, jobs_, recorder_);
+  worker_context_.types = scenario_.cloud.types;
+  worker_context_.heartbeat_interval = scenario_.heartbeat_interval;
+  worker_context_.lease = scenario_.lease;
+  workers_ = std::make_unique<WorkerPool>(scenario_.threads, worker_context_, jobs_, recorder_);
   faults_ = std::make_unique<FaultSchedule>(
       FaultSchedule::Targets{controllers_, leadership_, *workers_, services_loop_, *state_});
 }
@@ -97,8 +97,8 @@
   options.starts = scenario_.starts;
   options.max_jobs = scenario_.max_jobs;
   options.poll = scenario_.poll;
-  users_ =
-      std::make_unique<Users>(users_loop_, options, site_.nodes, jobs_, recorder_, user_traffic_);
+  users_ = std::make_unique<Users>(users_loop_, options, worker_context_.nodes, jobs_, recorder_,
+                                   user_traffic_);
 }
 
 // Adds the initial machines, spread evenly over the zones.
@@ -107,8 +107,8 @@
   for (std::size_t i = 0; i < zones; ++i) {
     const auto share = static_cast<std::uint32_t>(scenario_.workers / zones +
                                                   (i < scenario_.workers % zones ? 1 : 0));
-    cloud_->Place({"", scenario_.cloud.types.front().name, scenario_.zones[i], false, share},
-                  EventLoop::Now());
+    cloud_->AddBooted({"", scenario_.cloud.types.front().name, scenario_.zones[i], false, share},
+                      EventLoop::Now());
   }
 }
 
@@ -119,8 +119,8 @@
 
 void Run::StartControllers() {
   if (!controllers_.StartAll())
-    throw CannotRun(scenario_file_ + ": controllers.binary: " + scenario_.binary +
-                    ": cannot be started");
+    throw RunSetupError(scenario_file_ + ": controllers.binary: " + scenario_.binary +
+                        ": cannot be started");
 }
 
 void Run::AwaitHealth() {
@@ -128,11 +128,11 @@
   for (std::size_t i = 0; i < controllers_.size(); ++i) {
     while (!IsHealthy(controllers_.plan(i))) {
       if (!controllers_.process(i).running())
-        throw CannotRun(scenario_file_ + ": controllers.binary: " + scenario_.binary + ": exited during startup" +
-                        controllers_.process(i).last_words());
+        throw RunSetupError(scenario_file_ + ": controllers.binary: " + scenario_.binary +
+                            ": exited during startup" + controllers_.process(i).last_log_line());
       if (EventLoop::Now() > end)
-        throw CannotRun(scenario_file_ + ": controllers.binary: " + scenario_.binary + ": " +
-                        controllers_.plan(i).label + " did not become healthy");
+        throw RunSetupError(scenario_file_ + ": controllers.binary: " + scenario_.binary + ": " +
+                            controllers_.plan(i).label + " did not become healthy");
       std::this_thread::sleep_for(std::chrono::duration<double>(kHealthCheckInterval.value));
     }
   }
@@ -140,20 +140,20 @@
 }
 
 bool Run::IsHealthy(const ControllerPlan& controller) {
-  auto answer = std::make_shared<std::promise<bool>>();
-  Traffic uncounted;
-  std::unique_ptr<EventLoop::Caller> caller;
+  auto health = std::make_shared<std::promise<bool>>();
+  Traffic ignored_traffic;
+  std::unique_ptr<EventLoop::ClientConnection> connection;
   CallOnLoop(users_loop_, [&] {
-    caller = users_loop_.MakeCaller(controller.api, uncounted);
-    caller->Call({"GET", protocol::kHealthPath, ""}, Seconds{1},
-                 [answer](const HttpOutcome& outcome) {
-                   answer->set_value(outcome.answered && outcome.status == 200);
-                 });
+    connection = users_loop_.MakeClientConnection(controller.api, ignored_traffic);
+    connection->Call({"GET", protocol::kHealthPath, ""}, Seconds{1},
+                     [health](const HttpOutcome& outcome) {
+                       health->set_value(outcome.answered && outcome.status == 200);
+                     });
     return true;
   });
-  const bool healthy = answer->get_future().get();
+  const bool healthy = health->get_future().get();
   CallOnLoop(users_loop_, [&] {
-    caller.reset();
+    connection.reset();
     return true;
   });
   return healthy;
--- a/src/load_test/scenario.h
+++ b/src/load_test/scenario.h
@@ -16,7 +16,7 @@
 namespace magpie::load_test {
 
 // An invalid scenario: one line that names the file and the key.
-class BadScenario : public std::runtime_error {
+class InvalidScenario : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
@@ -32,8 +32,8 @@
     kOutage,          // the key-value service rejects all requests
   };
   Kind kind = Kind::kKillLeader;
-  Seconds at;        // from the start of the measurement
-  Seconds lasts{5};
+  Seconds at;  // from the start of the measurement
+  Seconds duration{5};
   std::string zone;
   std::uint32_t count = 1;  // machines
 };
@@ -59,7 +59,7 @@
   std::vector<JobClass> classes;
   Seconds poll{5};
   std::uint64_t max_jobs = 0;
-  std::uint64_t least_starts = 0;  // the run fails with fewer task starts
+  std::uint64_t min_starts = 0;  // the run fails with fewer task starts
   Seconds warm_up{10};
   std::uint32_t threads = 2;  // for the simulated workers
   std::vector<Fault> faults;
--- a/src/load_test/simulated_worker.cc
+++ b/src/load_test/simulated_worker.cc
@@ -15,18 +15,18 @@
       jobs_(jobs),
       observer_(observer),
       random_(static_cast<std::minstd_rand::result_type>(options.seed * 7919 + 1)),
-      core_(
-          std::move(options.agent), std::move(options.memory),
+      agent_(
+          std::move(options.agent), std::move(options.durable_state),
           [this] { return std::uniform_real_distribution<double>(0, 1)(random_); }, now) {}
 
 std::optional<agent::Worker::Outgoing> SimulatedWorker::NextHeartbeat(Instant now) {
   Advance(now);
-  return core_.NextHeartbeat(now);
+  return agent_.NextHeartbeat(now);
 }
 
 void SimulatedWorker::OnAnswer(const agent::Answer& answer, Instant now) {
-  core_.OnAnswer(answer, now);
-  CarryOut(now);
+  agent_.OnAnswer(answer, now);
+  ApplyEffects(now);
 }
 
 agent::DirectCommandReply SimulatedWorker::OnDirectCommand(std::optional<FencingToken> token,
@@ -34,52 +34,52 @@
                                                            const std::vector<Command>& commands,
                                                            Instant now) {
   Advance(now);
-  agent::DirectCommandReply answer = core_.OnDirectCommand(token, agent_epoch, commands, now);
-  CarryOut(now);
+  agent::DirectCommandReply answer = agent_.OnDirectCommand(token, agent_epoch, commands, now);
+  ApplyEffects(now);
   return answer;
 }
 
 Heartbeat SimulatedWorker::Inspect(Instant now) {
   Advance(now);
-  return core_.Inspect();
+  return agent_.Inspect();
 }
 
 void SimulatedWorker::Advance(Instant now) {
-  core_.CheckLease(now);
-  CarryOut(now);
-  EndDueFetches(now);
-  EndDueProcesses(now);
-  CarryOut(now);
+  agent_.CheckLease(now);
+  ApplyEffects(now);
+  EndFinishedFetches(now);
+  EndFinishedProcesses(now);
+  ApplyEffects(now);
 }
 
-Instant SimulatedWorker::Wake() const {
-  Instant wake = core_.NextWakeup();
+Instant SimulatedWorker::NextWakeup() const {
+  Instant wake = agent_.NextWakeup();
   for (const auto& [image, at] : fetches_) wake = std::min(wake, at);
   for (const auto& [key, process] : processes_) wake = std::min(wake, process.ends);
   return wake;
 }
 
-void SimulatedWorker::Perish(Instant now) {
+void SimulatedWorker::PowerOff(Instant now) {
   for (const auto& [key, process] : processes_)
-    observer_.OnTaskLeft(machine_, key.first, key.second, false, now);
+    observer_.OnTaskEnded(machine_, key.first, key.second, false, now);
   processes_.clear();
   fetches_.clear();
 }
 
 // Effects can cause further effects: a task whose image is cached starts immediately.
-void SimulatedWorker::CarryOut(Instant now) {
-  for (auto effects = core_.TakeEffects(); !effects.empty(); effects = core_.TakeEffects())
-    for (const agent::Effect& effect : effects) CarryOut(effect, now);
+void SimulatedWorker::ApplyEffects(Instant now) {
+  for (auto effects = agent_.TakeEffects(); !effects.empty(); effects = agent_.TakeEffects())
+    for (const agent::Effect& effect : effects) ApplyEffects(effect, now);
 }
 
-void SimulatedWorker::CarryOut(const agent::Effect& effect, Instant now) {
+void SimulatedWorker::ApplyEffects(const agent::Effect& effect, Instant now) {
   const ProcessKey key{effect.task, effect.attempt};
   switch (effect.kind) {
     case agent::Effect::Kind::kReadDescription:
-      Describe(effect.task);
+      ReadDescription(effect.task);
       break;
     case agent::Effect::Kind::kFetch:
-      Fetch(effect, now);
+      StartFetch(effect, now);
       break;
     case agent::Effect::Kind::kCancelFetch:
       fetches_.erase(effect.image);
@@ -99,17 +99,17 @@
   }
 }
 
-void SimulatedWorker::Describe(const TaskId& task) {
+void SimulatedWorker::ReadDescription(const TaskId& task) {
   const std::optional<SubmittedJob> job = jobs_.Find(task.job);
   if (!job || task.index >= job->spec.tasks) {
-    core_.OnDescription(task.job, std::nullopt);
+    agent_.OnDescription(task.job, std::nullopt);
     return;
   }
   image_sizes_[job->spec.image] = job->spec.image_gb;
-  core_.OnDescription(task.job, DescriptionOf(job->spec));
+  agent_.OnDescription(task.job, DescriptionOf(job->spec));
 }
 
-void SimulatedWorker::Fetch(const agent::Effect& effect, Instant now) {
+void SimulatedWorker::StartFetch(const agent::Effect& effect, Instant now) {
   fetches_[effect.image] = now + Seconds{image_sizes_[effect.image] / fetch_gb_per_s_};
 }
 
@@ -117,7 +117,7 @@
   const std::optional<SubmittedJob> job = jobs_.Find(key.first.job);
   const bool ends = job && job->run_time.value > 0;
   processes_[key] = {ends ? now + RunTimeOf(*job, key.first.index) : kNever, agent::Outcome::kDone};
-  observer_.OnTaskBegan(machine_, key.first, key.second, now);
+  observer_.OnTaskStarted(machine_, key.first, key.second, now);
 }
 
 void SimulatedWorker::SaveProcess(const ProcessKey& key, Instant now) {
@@ -132,25 +132,25 @@
 void SimulatedWorker::EndProcess(const ProcessKey& key, agent::Outcome outcome, Instant now) {
   const bool completed = outcome == agent::Outcome::kDone;
   if (processes_.erase(key) > 0)
-    observer_.OnTaskLeft(machine_, key.first, key.second, completed, now);
-  core_.OnExit(key.first, key.second, outcome);
+    observer_.OnTaskEnded(machine_, key.first, key.second, completed, now);
+  agent_.OnExit(key.first, key.second, outcome);
 }
 
-void SimulatedWorker::EndDueFetches(Instant now) {
-  std::vector<std::string> due;
+void SimulatedWorker::EndFinishedFetches(Instant now) {
+  std::vector<std::string> finished;
   for (const auto& [image, at] : fetches_)
-    if (at <= now) due.push_back(image);
-  for (const std::string& image : due) {
+    if (at <= now) finished.push_back(image);
+  for (const std::string& image : finished) {
     fetches_.erase(image);
-    core_.OnImage(image, true);
+    agent_.OnImage(image, true);
   }
 }
 
-void SimulatedWorker::EndDueProcesses(Instant now) {
-  std::vector<std::pair<ProcessKey, agent::Outcome>> due;
+void SimulatedWorker::EndFinishedProcesses(Instant now) {
+  std::vector<std::pair<ProcessKey, agent::Outcome>> finished;
   for (const auto& [key, process] : processes_)
-    if (process.ends <= now) due.emplace_back(key, process.outcome);
-  for (const auto& [key, outcome] : due) EndProcess(key, outcome, now);
+    if (process.ends <= now) finished.emplace_back(key, process.outcome);
+  for (const auto& [key, outcome] : finished) EndProcess(key, outcome, now);
 }
 
 }  // namespace magpie::load_test
--- a/src/load_test/simulated_worker.h
+++ b/src/load_test/simulated_worker.h
@@ -26,17 +26,17 @@
 class TaskObserver {
  public:
   virtual ~TaskObserver() = default;
-  virtual void OnTaskBegan(const MachineId& machine, const TaskId& task, Attempt attempt,
-                           Instant now) = 0;
-  virtual void OnTaskLeft(const MachineId& machine, const TaskId& task, Attempt attempt,
-                          bool completed, Instant now) = 0;
+  virtual void OnTaskStarted(const MachineId& machine, const TaskId& task, Attempt attempt,
+                             Instant now) = 0;
+  virtual void OnTaskEnded(const MachineId& machine, const TaskId& task, Attempt attempt,
+                           bool completed, Instant now) = 0;
 };
 
 class SimulatedWorker {
  public:
   struct Options {
     agent::Worker::Options agent;
-    agent::Worker::DurableState memory;  // of the previous worker process on the machine
+    agent::Worker::DurableState durable_state;  // of the previous worker process on the machine
     double fetch_gb_per_s = 1;
     std::uint64_t seed = 0;
   };
@@ -51,13 +51,13 @@
                                             std::optional<std::uint64_t> agent_epoch,
                                             const std::vector<Command>& commands, Instant now);
   Heartbeat Inspect(Instant now);
-  void OnPreemptionNotice(std::optional<Seconds> left) { core_.OnPreemptionNotice(left); }
+  void OnPreemptionNotice(std::optional<Seconds> left) { agent_.OnPreemptionNotice(left); }
   // Ends fetches and processes whose time has passed, and checks the lease.
   void Advance(Instant now);
   // The latest time for the next call of NextHeartbeat or Advance.
-  Instant Wake() const;
+  Instant NextWakeup() const;
   // Ends all tasks and fetches, as a machine without power does.
-  void Perish(Instant now);
+  void PowerOff(Instant now);
 
   std::size_t running() const { return processes_.size(); }
   const MachineId& machine() const { return machine_; }
@@ -69,22 +69,22 @@
     agent::Outcome outcome = agent::Outcome::kDone;
   };
 
-  void CarryOut(Instant now);
-  void CarryOut(const agent::Effect& effect, Instant now);
-  void Describe(const TaskId& task);
-  void Fetch(const agent::Effect& effect, Instant now);
+  void ApplyEffects(Instant now);
+  void ApplyEffects(const agent::Effect& effect, Instant now);
+  void ReadDescription(const TaskId& task);
+  void StartFetch(const agent::Effect& effect, Instant now);
   void StartProcess(const ProcessKey& key, Instant now);
   void SaveProcess(const ProcessKey& key, Instant now);
   void EndProcess(const ProcessKey& key, agent::Outcome outcome, Instant now);
-  void EndDueFetches(Instant now);
-  void EndDueProcesses(Instant now);
+  void EndFinishedFetches(Instant now);
+  void EndFinishedProcesses(Instant now);
 
   MachineId machine_;
   double fetch_gb_per_s_;
   const JobLedger& jobs_;
   TaskObserver& observer_;
   std::minstd_rand random_;
-  agent::Worker core_;
+  agent::Worker agent_;
   std::map<ProcessKey, Process> processes_;
   std::map<std::string, Instant> fetches_;     // end of each fetch, by image
   std::map<std::string, double> image_sizes_;  // of requested images, in GB
--- a/src/load_test/state_server.h
+++ b/src/load_test/state_server.h
@@ -42,7 +42,7 @@
   std::optional<Address> Serve(const std::string& controller);
   void SetOutage(bool outage);
   // Answers one controller with 503, as if the service were unreachable for it.
-  void SetCut(const std::string& controller, bool cut);
+  void SetUnavailable(const std::string& controller, bool unavailable);
 
   const Counts& counts() const { return counts_; }
   std::size_t keys() const { return service_.keys(); }
@@ -54,30 +54,31 @@
   struct Endpoint {
     std::unique_ptr<EventLoop::Listener> listener;
     Traffic traffic;
-    bool cut = false;
+    bool unavailable = false;
   };
   struct Watch {
     std::string controller;
     std::string prefix;
     Revision after;
-    Instant until;
-    EventLoop::ReplyTo reply;
+    Instant deadline;
+    EventLoop::ReplyCallback reply;
   };
 
   void OnRequest(const std::string& controller, const HttpCall& call,
-                 const EventLoop::ReplyTo& reply);
-  void Answer(const std::string& controller, const HttpCall& call, const EventLoop::ReplyTo& reply);
+                 const EventLoop::ReplyCallback& reply);
+  void Answer(const std::string& controller, const HttpCall& call,
+              const EventLoop::ReplyCallback& reply);
   HttpReply AnswerNow(const HttpCall& call);
   HttpReply AnswerRange(const HttpCall& call);
   HttpReply AnswerCommit(const HttpCall& call);
   HttpReply AnswerLease(const HttpCall& call);
   void AnswerWatch(const std::string& controller, const HttpCall& call,
-                   const EventLoop::ReplyTo& reply);
+                   const EventLoop::ReplyCallback& reply);
   // Answers watches that have changes to report or whose time has run out.
   void ServeWatches();
   void Tick();
   Seconds Latency();
-  bool Refuses(const std::string& controller) const;
+  bool IsUnavailable(const std::string& controller) const;
 
   EventLoop& loop_;
   Options options_;
--- a/src/load_test/state_service.cc
+++ b/src/load_test/state_service.cc
@@ -7,25 +7,25 @@
 namespace {
 
 constexpr Seconds kBurst{1};
-constexpr std::size_t kLongestKey = 200;
+constexpr std::size_t kMaxKeyLength = 200;
 constexpr std::size_t kMaxEntries = 1000;
 constexpr std::size_t kMaxRangeBytes = 512UL * 1024;
 constexpr std::size_t kMaxTransactionBytes = 64UL * 1024;
-constexpr std::size_t kConditionsForOperation = 4;
-constexpr std::size_t kOverhead = 40;  // added to the key and value of an operation
-constexpr Seconds kShortestLife{0.1};
-constexpr Seconds kLongestLife{600};
+constexpr std::size_t kMaxConditionsPerOperation = 4;
+constexpr std::size_t kOperationOverheadBytes = 40;  // added to the key and value of an operation
+constexpr Seconds kMinLeaseDuration{0.1};
+constexpr Seconds kMaxLeaseDuration{600};
 
-bool IsKey(const std::string& key) {
-  return !key.empty() && key.size() <= kLongestKey && key.find(' ') == std::string::npos;
+bool IsValidKey(const std::string& key) {
+  return !key.empty() && key.size() <= kMaxKeyLength && key.find(' ') == std::string::npos;
 }
 
 }  // namespace
 
 StateService::StateService(Options options)
     : options_(options),
-      requests_(options.requests_a_second, kBurst),
-      writes_(options.writes_a_second, kBurst) {}
+      requests_(options.requests_per_second, kBurst),
+      writes_(options.writes_per_second, kBurst) {}
 
 std::optional<StateEntry> StateService::Get(const std::string& key, Instant now) {
   Expire(now);
@@ -43,7 +43,7 @@
   const std::size_t maximum = std::min(page, kMaxEntries);
   auto it = after < prefix ? keys_.lower_bound(prefix) : keys_.upper_bound(after);
   for (; it != keys_.end() && it->first.starts_with(prefix); ++it) {
-    bytes += it->first.size() + it->second.value.dump().size() + kOverhead;
+    bytes += it->first.size() + it->second.value.dump().size() + kOperationOverheadBytes;
     const bool full = range.entries.size() == maximum || bytes > kMaxRangeBytes;
     if (full && !range.entries.empty()) {
       range.more = true;
@@ -55,22 +55,22 @@
 }
 
 // The error of an invalid transaction, before its conditions are checked; null if it is valid.
-const char* StateService::Fault(const Transaction& transaction) const {
-  if (transaction.changes.size() > options_.most_operations) return "too many operations";
-  if (transaction.conditions.size() > kConditionsForOperation * options_.most_operations)
+const char* StateService::FindError(const Transaction& transaction) const {
+  if (transaction.changes.size() > options_.max_operations) return "too many operations";
+  if (transaction.conditions.size() > kMaxConditionsPerOperation * options_.max_operations)
     return "too many conditions";
   std::size_t bytes = 0;
   for (const Condition& condition : transaction.conditions) {
-    if (!IsKey(condition.key)) return "bad key";
-    bytes += condition.key.size() + kOverhead;
+    if (!IsValidKey(condition.key)) return "bad key";
+    bytes += condition.key.size() + kOperationOverheadBytes;
   }
   for (const Change& change : transaction.changes) {
-    if (!IsKey(change.key)) return "bad key";
-    bytes += change.key.size() + kOverhead;
+    if (!IsValidKey(change.key)) return "bad key";
+    bytes += change.key.size() + kOperationOverheadBytes;
     if (!change.value) continue;
     const std::size_t size = change.value->dump().size();
-    constexpr double kKilo = 1024;
-    if (static_cast<double>(size) > kKilo * options_.value_kb) return "value too large";
+    constexpr double kBytesPerKb = 1024;
+    if (static_cast<double>(size) > kBytesPerKb * options_.value_kb) return "value too large";
     bytes += size;
     if (change.lease && !leases_.contains(*change.lease)) return "no such lease";
   }
@@ -80,14 +80,14 @@
 StateCommit StateService::Commit(const Transaction& transaction, Instant now) {
   Expire(now);
   // Transactions whose conditions fail count against the write rate too.
-  if (!writes_.Take(static_cast<double>(transaction.changes.size()), now))
-    return {StateStatus::kOverRate, tick_, {}, "rate"};
-  if (const char* fault = Fault(transaction)) return {StateStatus::kBad, tick_, {}, fault};
+  if (!writes_.TryAcquire(static_cast<double>(transaction.changes.size()), now))
+    return {StateStatus::kRateLimited, tick_, {}, "rate"};
+  if (const char* error = FindError(transaction)) return {StateStatus::kInvalid, tick_, {}, error};
   StateCommit result;
   for (const Condition& condition : transaction.conditions) {
     const auto it = keys_.find(condition.key);
-    const Revision there = it == keys_.end() ? Revision{} : it->second.revision;
-    if (there != condition.revision) result.failed.push_back(condition.key);
+    const Revision current_revision = it == keys_.end() ? Revision{} : it->second.revision;
+    if (current_revision != condition.revision) result.failed.push_back(condition.key);
   }
   if (result.failed.empty()) {
     if (!transaction.changes.empty()) ++tick_.value;
@@ -105,37 +105,37 @@
   } else if (keys_.erase(change.key) == 0) {
     return;
   }
-  Append({change.key, change.value, tick_});
+  AppendToLog({change.key, change.value, tick_});
 }
 
-void StateService::Append(WatchEvent event) {
+void StateService::AppendToLog(WatchEvent event) {
   log_.push_back(std::move(event));
-  while (log_.size() > options_.kept_changes) {
-    forgotten_ = log_.front().revision;
+  while (log_.size() > options_.max_log_entries) {
+    compacted_revision_ = log_.front().revision;
     log_.pop_front();
   }
 }
 
-LeaseId StateService::Grant(Seconds life, Instant now) {
+LeaseId StateService::Grant(Seconds duration, Instant now) {
   Expire(now);
-  if (life < kShortestLife || life > kLongestLife) return {};
+  if (duration < kMinLeaseDuration || duration > kMaxLeaseDuration) return {};
   const LeaseId lease{++last_lease_};
-  leases_[lease] = {life, now + life};
+  leases_[lease] = {duration, now + duration};
   return lease;
 }
 
 StateStatus StateService::KeepAlive(LeaseId lease, Instant now) {
   Expire(now);
   const auto it = leases_.find(lease);
-  if (it == leases_.end()) return StateStatus::kAbsent;
-  it->second.ends = now + it->second.life;
+  if (it == leases_.end()) return StateStatus::kNotFound;
+  it->second.expires = now + it->second.duration;
   return StateStatus::kOk;
 }
 
 StateStatus StateService::End(LeaseId lease, Instant now) {
   Expire(now);
-  if (leases_.erase(lease) == 0) return StateStatus::kAbsent;
-  DropKeysOf(lease);
+  if (leases_.erase(lease) == 0) return StateStatus::kNotFound;
+  DeleteKeysOf(lease);
   return StateStatus::kOk;
 }
 
@@ -143,8 +143,8 @@
   Expire(now);
   StateLog log;
   log.tick = tick_;
-  if (after < forgotten_) {
-    log.status = StateStatus::kTooOld;
+  if (after < compacted_revision_) {
+    log.status = StateStatus::kCompacted;
     return log;
   }
   auto it = std::upper_bound(
@@ -156,23 +156,23 @@
 }
 
 void StateService::Expire(Instant now) {
-  std::vector<LeaseId> over;
+  std::vector<LeaseId> expired;
   for (const auto& [id, lease] : leases_)
-    if (lease.ends < now) over.push_back(id);
-  for (const LeaseId id : over) {
+    if (lease.expires < now) expired.push_back(id);
+  for (const LeaseId id : expired) {
     leases_.erase(id);
-    DropKeysOf(id);
+    DeleteKeysOf(id);
   }
 }
 
 void StateService::EndOutage(Instant now) {
-  for (auto& [id, lease] : leases_) lease.ends = now + lease.life;
+  for (auto& [id, lease] : leases_) lease.expires = now + lease.duration;
 }
 
-void StateService::DropKeysOf(LeaseId lease) {
+void StateService::DeleteKeysOf(LeaseId lease) {
   std::vector<std::string> attached;
-  for (const auto& [key, held] : keys_)
-    if (held.lease == lease) attached.push_back(key);
+  for (const auto& [key, stored] : keys_)
+    if (stored.lease == lease) attached.push_back(key);
   if (attached.empty()) return;
   ++tick_.value;
   for (const std::string& key : attached) Apply({key, std::nullopt, std::nullopt});
--- a/src/load_test/state_service.h
+++ b/src/load_test/state_service.h
@@ -19,11 +19,11 @@
 
 enum class StateStatus : std::uint8_t {
   kOk,
-  kAbsent,    // 404: no such key or lease
-  kConflict,  // 409
-  kOverRate,  // 429
-  kBad,       // 400
-  kTooOld,    // 410: the requested revision is no longer in the log
+  kNotFound,     // 404: no such key or lease
+  kConflict,     // 409
+  kRateLimited,  // 429
+  kInvalid,      // 400
+  kCompacted,    // 410: the requested revision is no longer in the log
 };
 
 struct StateEntry {
@@ -55,17 +55,17 @@
 class StateService {
  public:
   struct Options {
-    double requests_a_second = 150;
-    double writes_a_second = 25;
-    std::uint32_t most_operations = 16;
+    double requests_per_second = 150;
+    double writes_per_second = 25;
+    std::uint32_t max_operations = 16;
     double value_kb = 16;
-    std::size_t kept_changes = 10000;
+    std::size_t max_log_entries = 10000;
   };
 
   explicit StateService(Options options);
 
   // Counts a request against the rate limit. Returns false if it must be rejected with 429.
-  bool Admit(Instant now) { return requests_.Take(1, now); }
+  bool Admit(Instant now) { return requests_.TryAcquire(1, now); }
 
   std::optional<StateEntry> Get(const std::string& key, Instant now);
   // At most `page` entries, and no more bytes than PROTOCOL allows.
@@ -73,7 +73,7 @@
                    Instant now);
   StateCommit Commit(const Transaction& transaction, Instant now);
   // Returns lease 0 if the duration is outside the range of PROTOCOL.
-  LeaseId Grant(Seconds life, Instant now);
+  LeaseId Grant(Seconds duration, Instant now);
   StateStatus KeepAlive(LeaseId lease, Instant now);
   StateStatus End(LeaseId lease, Instant now);
   // The changes of keys with the prefix after a revision; empty if there are none yet.
@@ -88,30 +88,30 @@
   std::size_t keys() const { return keys_.size(); }
 
  private:
-  struct HeldTask {
+  struct StoredValue {
     Json value;
     Revision revision;
     std::optional<LeaseId> lease;
   };
   struct Lease {
-    Seconds life;
-    Instant ends;
+    Seconds duration;
+    Instant expires;
   };
 
-  const char* Fault(const Transaction& transaction) const;
+  const char* FindError(const Transaction& transaction) const;
   void Apply(const Change& change);
-  void Append(WatchEvent event);
-  void DropKeysOf(LeaseId lease);
+  void AppendToLog(WatchEvent event);
+  void DeleteKeysOf(LeaseId lease);
 
   Options options_;
   RateLimit requests_;
   RateLimit writes_;
-  std::map<std::string, HeldTask> keys_;
+  std::map<std::string, StoredValue> keys_;
   std::map<LeaseId, Lease> leases_;
   std::uint64_t last_lease_ = 0;
   Revision tick_{1};
-  std::deque<WatchEvent> log_;  // the latest max_log_entries changes
-  Revision forgotten_;          // changes up to this revision were removed from the log
+  std::deque<WatchEvent> log_;   // the latest max_log_entries changes
+  Revision compacted_revision_;  // changes up to this revision were removed from the log
 };
 
 }  // namespace magpie::load_test
--- a/src/load_test/users.h
+++ b/src/load_test/users.h
@@ -1,5 +1,5 @@
-// The simulated users of a run: submit jobs of the configured classes, poll them and cancel some, by
-// the rules of PROTOCOL for users. Used on the thread of its loop.
+// The simulated users of a run: submit jobs of the configured classes, poll them and cancel some,
+// by the rules of PROTOCOL for users. Used on the thread of its loop.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +19,7 @@
 
 // A class of similar jobs.
 struct JobClass {
-  JobSpec like;                    // without id, team and submission time
+  JobSpec spec_template;           // without id, team and submission time
   std::vector<std::string> teams;  // drawn with equal probability
   Seconds run_time;                // mean of its tasks
   double spread = 0;               // maximum deviation of run times, as a fraction
@@ -64,25 +64,26 @@
  private:
   struct Job;
   struct Route {
-    std::vector<std::unique_ptr<EventLoop::Caller>> callers;
+    std::vector<std::unique_ptr<EventLoop::ClientConnection>> connections;
     Instant skipped_until;
     int failures = 0;  // consecutive
   };
 
-  void Arrive(std::size_t number_of_class);
-  void ScheduleArrival(std::size_t number_of_class);
-  JobSpec SpecOf(const JobClass& job_class);
+  void CreateJob(std::size_t class_index);
+  void ScheduleArrival(std::size_t class_index);
+  JobSpec MakeSpec(const JobClass& job_class);
   void Submit(const std::shared_ptr<Job>& job);
-  void OnSubmitted(const std::shared_ptr<Job>& job, AnsweredState state);
+  void OnSubmitted(const std::shared_ptr<Job>& job, ReportedState state);
   void SchedulePoll(const std::shared_ptr<Job>& job);
   void Poll(const std::shared_ptr<Job>& job);
   void Cancel(const std::shared_ptr<Job>& job);
-  void OnAnswer(const std::shared_ptr<Job>& job, AnsweredState state);
+  void OnAnswer(const std::shared_ptr<Job>& job, ReportedState state);
   void PollUnknownJob();
   // Sends a request to a controller. Passes the state in the response and the time of the request.
-  void Ask(HttpCall call, Seconds timeout, std::function<void(AnsweredState, Instant)> on_answer);
-  EventLoop::Caller* Choose(std::size_t& node);
-  double Draw() { return std::uniform_real_distribution<double>(0, 1)(random_); }
+  void SendRequest(HttpCall call, Seconds timeout,
+                   std::function<void(ReportedState, Instant)> on_answer);
+  EventLoop::ClientConnection* ChooseConnection(std::size_t& node);
+  double RandomFraction() { return std::uniform_real_distribution<double>(0, 1)(random_); }
 
   EventLoop& loop_;
   Options options_;
@@ -95,7 +96,7 @@
   std::uint64_t last_job_ = 0;
   bool arriving_ = true;
   std::size_t open_ = 0;
-  std::size_t awaited_ = 0;  // submissions without a final response
+  std::size_t unanswered_submissions_ = 0;  // submissions without a final response
   Counts counts_;
 };
 
--- a/src/load_test/worker_pool.cc
+++ b/src/load_test/worker_pool.cc
@@ -4,9 +4,9 @@
 
 namespace magpie::load_test {
 
-WorkerPool::WorkerPool(std::size_t threads, WorkerSite& site, const JobLedger& jobs,
+WorkerPool::WorkerPool(std::size_t threads, WorkerContext& context, const JobLedger& jobs,
                        Recorder& recorder)
-    : site_(site), jobs_(jobs), recorder_(recorder) {
+    : worker_context_(context), jobs_(jobs), recorder_(recorder) {
   for (std::size_t i = 0; i < threads; ++i) {
     threads_.push_back(std::make_unique<Thread>());
     Thread& thread = *threads_.back();
@@ -29,7 +29,7 @@
 std::string WorkerPool::Add(const CloudMachine& machine) {
   Thread& thread = ThreadOf(machine.id);
   auto worker = std::make_shared<std::unique_ptr<NetworkedWorker>>(
-      std::make_unique<NetworkedWorker>(thread.loop, site_, machine, jobs_, recorder_));
+      std::make_unique<NetworkedWorker>(thread.loop, worker_context_, machine, jobs_, recorder_));
   const std::optional<Address> address = (*worker)->address();
   if (!address) return {};
   {
@@ -41,7 +41,7 @@
   return address->host + ":" + std::to_string(address->port);
 }
 
-void WorkerPool::On(const MachineId& machine, std::function<void(NetworkedWorker&)> call) {
+void WorkerPool::PostTo(const MachineId& machine, std::function<void(NetworkedWorker&)> call) {
   Thread& thread = ThreadOf(machine);
   thread.loop.Post([&thread, id = machine.value, call = std::move(call)] {
     const auto it = thread.workers.find(id);
@@ -50,20 +50,19 @@
 }
 
 void WorkerPool::Begin(const MachineId& machine) {
-  On(machine, [](NetworkedWorker& worker) { worker.Begin(); });
+  PostTo(machine, [](NetworkedWorker& worker) { worker.Begin(); });
 }
 
-void WorkerPool::SetSilent(const MachineId& machine, bool heartbeat_timeout) {
-  On(machine,
-     [heartbeat_timeout](NetworkedWorker& worker) { worker.SetSilent(heartbeat_timeout); });
+void WorkerPool::SetUnreachable(const MachineId& machine, bool unreachable) {
+  PostTo(machine, [unreachable](NetworkedWorker& worker) { worker.SetUnreachable(unreachable); });
 }
 
-void WorkerPool::Perish(const MachineId& machine) {
-  On(machine, [](NetworkedWorker& worker) { worker.Perish(); });
+void WorkerPool::PowerOff(const MachineId& machine) {
+  PostTo(machine, [](NetworkedWorker& worker) { worker.PowerOff(); });
 }
 
 void WorkerPool::Restart(const MachineId& machine) {
-  On(machine, [](NetworkedWorker& worker) { worker.Restart(); });
+  PostTo(machine, [](NetworkedWorker& worker) { worker.Restart(); });
 }
 
 void WorkerPool::Remove(const MachineId& machine) {
@@ -72,16 +71,16 @@
     machines_.erase(machine);
   }
   Thread& thread = ThreadOf(machine);
-  const auto gone = std::make_shared<std::promise<void>>();
-  thread.loop.Post([&thread, id = machine.value, gone] {
+  const auto removed = std::make_shared<std::promise<void>>();
+  thread.loop.Post([&thread, id = machine.value, removed] {
     const auto it = thread.workers.find(id);
     if (it != thread.workers.end()) {
-      it->second->Perish();
+      it->second->PowerOff();
       thread.workers.erase(it);
     }
-    gone->set_value();
+    removed->set_value();
   });
-  gone->get_future().wait();
+  removed->get_future().wait();
 }
 
 std::vector<CloudMachine> WorkerPool::machines() const {
--- a/src/load_test/worker_pool.h
+++ b/src/load_test/worker_pool.h
@@ -16,7 +16,8 @@
 class WorkerPool {
  public:
   // `context`, `jobs` and `recorder` must outlive the pool.
-  WorkerPool(std::size_t threads, WorkerSite& site, const JobLedger& jobs, Recorder& recorder);
+  WorkerPool(std::size_t threads, WorkerContext& context, const JobLedger& jobs,
+             Recorder& recorder);
   // Stops the threads and destroys all workers.
   ~WorkerPool();
   WorkerPool(const WorkerPool&) = delete;
@@ -27,8 +28,8 @@
   void Begin(const MachineId& machine);
   // When this returns, the worker is destroyed and its tasks have ended.
   void Remove(const MachineId& machine);
-  void SetSilent(const MachineId& machine, bool heartbeat_timeout);
-  void Perish(const MachineId& machine);
+  void SetUnreachable(const MachineId& machine, bool unreachable);
+  void PowerOff(const MachineId& machine);
   void Restart(const MachineId& machine);
 
   // The machines of the pool, ordered by name.
@@ -44,9 +45,9 @@
 
   Thread& ThreadOf(const MachineId& machine);
   // Runs `call` on the worker's thread, if the worker still exists then.
-  void On(const MachineId& machine, std::function<void(NetworkedWorker&)> call);
+  void PostTo(const MachineId& machine, std::function<void(NetworkedWorker&)> call);
 
-  WorkerSite& site_;
+  WorkerContext& worker_context_;
   const JobLedger& jobs_;
   Recorder& recorder_;
   std::vector<std::unique_ptr<Thread>> threads_;
--- a/tests/golden_controller_test.cc
+++ b/tests/golden_controller_test.cc
@@ -81,8 +81,8 @@
 
 StateServer::Options FastState() {
   StateServer::Options options;
-  options.service.requests_a_second = 1e4;
-  options.service.writes_a_second = 1e4;
+  options.service.requests_per_second = 1e4;
+  options.service.writes_per_second = 1e4;
   options.latency = {0.001};
   return options;
 }
@@ -132,7 +132,7 @@
   void StartController() {
     ASSERT_TRUE(process_.Start());
     ASSERT_TRUE(Eventually([this] { return user_requests_.Get("/healthz").answered; }))
-        << process_.last_words();
+        << process_.last_log_line();
   }
 
   void ExpectAnswer(const HttpAnswer& answer, int status, const std::string& body) {
--- a/tests/load_test_checker_test.cc
+++ b/tests/load_test_checker_test.cc
@@ -1,5 +1,5 @@
-// The checker of load tests on constructed histories: for each rule of the protocol one that
-// violates it, and beside it one that is as close to that as the rule allows.
+// Tests of the load test's checker on constructed histories. For each rule of PROTOCOL there are
+// histories that violate it, and similar histories that just comply with it.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -30,42 +30,42 @@
     At(0, MachineUp{{"m-spot"}, "plain", "a", true});
     At(0, MachineUp{{"m-great"}, "great", "a", false});
   }
-  template <typename What>
-  HistoryBuilder& At(double at, What what) {
-    events_.push_back({{at}, std::move(what)});
+  template <typename Payload>
+  HistoryBuilder& At(double at, Payload payload) {
+    events_.push_back({{at}, std::move(payload)});
     return *this;
   }
   HistoryBuilder& Accepted(const JobSpec& spec) {
     At(1, JobSubmitted{spec});
-    return Answered(2, AnsweredState::kLive, UserRequest::kSubmit);
+    return Answered(2, ReportedState::kActive, UserRequest::kSubmit);
   }
-  HistoryBuilder& Answered(double at, AnsweredState state, UserRequest request = UserRequest::kPoll,
+  HistoryBuilder& Answered(double at, ReportedState state, UserRequest request = UserRequest::kPoll,
                            double took = 0.1) {
     return At(at, UserAnswered{kJob, request, state, {at - took}});
   }
-  HistoryBuilder& Began(double at, std::uint32_t task, const std::string& machine) {
-    return At(at, TaskBegan{{machine}, {kJob, task}});
+  HistoryBuilder& Started(double at, std::uint32_t task, const std::string& machine) {
+    return At(at, TaskStarted{{machine}, {kJob, task}});
   }
-  HistoryBuilder& Left(double at, std::uint32_t task, const std::string& machine,
-                       bool completed = true) {
-    return At(at, TaskLeft{{machine}, {kJob, task}, completed});
+  HistoryBuilder& Ended(double at, std::uint32_t task, const std::string& machine,
+                        bool completed = true) {
+    return At(at, TaskEnded{{machine}, {kJob, task}, completed});
   }
   HistoryBuilder& Cancelled(double requested, double answered) {
     At(requested, CancelRequested{kJob});
-    return Answered(answered, AnsweredState::kCancelled, UserRequest::kCancel);
+    return Answered(answered, ReportedState::kCancelled, UserRequest::kCancel);
   }
-  // Every poll of the job fails, while those of another are answered or not.
-  HistoryBuilder& PollsFail(double from, double until, AnsweredState of_the_other) {
+  // All polls of the job fail. Polls of another job get the state `other_state`.
+  HistoryBuilder& PollsFail(double from, double until, ReportedState other_state) {
     JobSpec other = testing::MakeJob("j-2", 1);
     At(from, JobSubmitted{other});
     for (double at = from; at <= until; at += 5) {
-      Answered(at, AnsweredState::kNoAnswer, UserRequest::kPoll, 2);
+      Answered(at, ReportedState::kNoAnswer, UserRequest::kPoll, 2);
       for (int i = 0; i < 2; ++i)
-        At(at, UserAnswered{other.id, UserRequest::kPoll, of_the_other, {at - 0.1}});
+        At(at, UserAnswered{other.id, UserRequest::kPoll, other_state, {at - 0.1}});
     }
     return *this;
   }
-  // The names of the rules that it violates, each once.
+  // The names of the violated rules, each once.
   std::string Violations(double end = 1000) const {
     Checker checker({{{"red", 0, 8, 0, 0}}, kCancel, Seconds{90}});
     for (const Event& event : events_) checker.Observe(event);
@@ -73,7 +73,7 @@
     std::string names;
     for (const auto& [rule, times] : checker.violation_counts()) {
       if (!names.empty()) names += ' ';
-      names += NameOf(rule);
+      names += RuleName(rule);
     }
     return names;
   }
@@ -82,13 +82,13 @@
   std::vector<Event> events_;
 };
 
-JobSpec With(void (*change)(JobSpec&)) {
+JobSpec SpecWith(void (*change)(JobSpec&)) {
   JobSpec spec = Spec(4);
   change(spec);
   return spec;
 }
 
-// A history, and the invariant that it violates.
+// A history and the rule that it violates.
 struct HistoryCase {
   const char* name;
   const char* violated;  // empty: none
@@ -98,156 +98,160 @@
 
 HistoryCases HistoriesWithoutViolation() {
   return {
-      {"a job runs and is done", "",
+      {"job runs and is done", "",
        HistoryBuilder()
            .Accepted(Spec())
-           .Began(3, 0, "m-a1")
-           .Began(3, 1, "m-b")
-           .Left(9, 0, "m-a1")
-           .Left(9, 1, "m-b")
-           .Answered(10, AnsweredState::kDone)
-           .Answered(20, AnsweredState::kDone)},
+           .Started(3, 0, "m-a1")
+           .Started(3, 1, "m-b")
+           .Ended(9, 0, "m-a1")
+           .Ended(9, 1, "m-b")
+           .Answered(10, ReportedState::kDone)
+           .Answered(20, ReportedState::kDone)},
   };
 }
 
 HistoryCases RanTwiceCases() {
   return {
-      {"a task begins on a second machine", "ran_twice",
-       HistoryBuilder().Accepted(Spec()).Began(3, 0, "m-a1").Began(4, 0, "m-a2")},
-      {"a task begins anew once it has left", "",
+      {"task starts on second machine while running", "ran_twice",
+       HistoryBuilder().Accepted(Spec()).Started(3, 0, "m-a1").Started(4, 0, "m-a2")},
+      {"task restarts after it ended", "",
        HistoryBuilder()
            .Accepted(Spec())
-           .Began(3, 0, "m-a1")
-           .Left(4, 0, "m-a1", false)
-           .Began(4, 0, "m-a2")},
-      {"a task begins twice on one machine", "ran_twice",
-       HistoryBuilder().Accepted(Spec()).Began(3, 0, "m-a1").Began(4, 0, "m-a1")},
+           .Started(3, 0, "m-a1")
+           .Ended(4, 0, "m-a1", false)
+           .Started(4, 0, "m-a2")},
+      {"task starts twice on one machine", "ran_twice",
+       HistoryBuilder().Accepted(Spec()).Started(3, 0, "m-a1").Started(4, 0, "m-a1")},
   };
 }
 
 HistoryCases QuotaCases() {
-  const JobSpec five = Spec(5);
+  const JobSpec five_tasks = Spec(5);
   return {
-      {"five tasks of two CPUs under a limit of eight", "quota",
+      {"five tasks of two CPUs exceed quota of eight", "quota",
        HistoryBuilder()
-           .Accepted(five)
-           .Began(3, 0, "m-a1")
-           .Began(3, 1, "m-a1")
-           .Began(3, 2, "m-a1")
-           .Began(3, 3, "m-b")
-           .Began(3, 4, "m-b")},
-      {"the fifth once one has left", "",
+           .Accepted(five_tasks)
+           .Started(3, 0, "m-a1")
+           .Started(3, 1, "m-a1")
+           .Started(3, 2, "m-a1")
+           .Started(3, 3, "m-b")
+           .Started(3, 4, "m-b")},
+      {"fifth task starts after another ended", "",
        HistoryBuilder()
-           .Accepted(five)
-           .Began(3, 0, "m-a1")
-           .Began(3, 1, "m-a1")
-           .Began(3, 2, "m-a1")
-           .Began(3, 3, "m-b")
-           .Left(4, 3, "m-b")
-           .Began(5, 4, "m-b")},
+           .Accepted(five_tasks)
+           .Started(3, 0, "m-a1")
+           .Started(3, 1, "m-a1")
+           .Started(3, 2, "m-a1")
+           .Started(3, 3, "m-b")
+           .Ended(4, 3, "m-b")
+           .Started(5, 4, "m-b")},
   };
 }
 
 HistoryCases WrongPlaceCases() {
-  const JobSpec tied = With([](JobSpec& s) { s.zone = "a"; });
-  const JobSpec single_zone = With([](JobSpec& s) { s.single_zone = true; });
-  const JobSpec spread = With([](JobSpec& s) { s.spread = true; });
-  const JobSpec spot = With([](JobSpec& s) { s.spot = true; });
+  const JobSpec zone_bound = SpecWith([](JobSpec& s) { s.zone = "a"; });
+  const JobSpec single_zone = SpecWith([](JobSpec& s) { s.single_zone = true; });
+  const JobSpec spread = SpecWith([](JobSpec& s) { s.spread = true; });
+  const JobSpec spot = SpecWith([](JobSpec& s) { s.spot = true; });
   return {
-      {"on a type that is not allowed", "wrong_place",
-       HistoryBuilder().Accepted(Spec()).Began(3, 0, "m-great")},
-      {"in a zone that is not allowed", "wrong_place",
-       HistoryBuilder().Accepted(tied).Began(3, 0, "m-b")},
-      {"in the only zone that is allowed", "", HistoryBuilder().Accepted(tied).Began(3, 0, "m-a1")},
-      {"on a spot machine against its will", "wrong_place",
-       HistoryBuilder().Accepted(Spec()).Began(3, 0, "m-spot")},
-      {"on a spot machine", "", HistoryBuilder().Accepted(spot).Began(3, 0, "m-spot")},
-      {"a task that its job does not have", "wrong_place",
-       HistoryBuilder().Accepted(Spec()).Began(3, 2, "m-a1")},
-      {"in a single zone: in two zones", "wrong_place",
-       HistoryBuilder().Accepted(single_zone).Began(3, 0, "m-a1").Began(4, 1, "m-b")},
-      {"in a single zone: in another zone once all have left", "",
+      {"machine type not allowed", "wrong_place",
+       HistoryBuilder().Accepted(Spec()).Started(3, 0, "m-great")},
+      {"zone not allowed", "wrong_place",
+       HistoryBuilder().Accepted(zone_bound).Started(3, 0, "m-b")},
+      {"only allowed zone", "", HistoryBuilder().Accepted(zone_bound).Started(3, 0, "m-a1")},
+      {"spot machine not allowed", "wrong_place",
+       HistoryBuilder().Accepted(Spec()).Started(3, 0, "m-spot")},
+      {"spot machine allowed", "", HistoryBuilder().Accepted(spot).Started(3, 0, "m-spot")},
+      {"task index out of range", "wrong_place",
+       HistoryBuilder().Accepted(Spec()).Started(3, 2, "m-a1")},
+      {"single zone: tasks in two zones", "wrong_place",
+       HistoryBuilder().Accepted(single_zone).Started(3, 0, "m-a1").Started(4, 1, "m-b")},
+      {"single zone: another zone after all tasks ended", "",
        HistoryBuilder()
            .Accepted(single_zone)
-           .Began(3, 0, "m-a1")
-           .Left(4, 0, "m-a1", false)
-           .Began(4, 0, "m-b")},
-      {"spread: three of four in a zone", "wrong_place",
+           .Started(3, 0, "m-a1")
+           .Ended(4, 0, "m-a1", false)
+           .Started(4, 0, "m-b")},
+      {"spread: three of four tasks in one zone", "wrong_place",
        HistoryBuilder()
            .Accepted(spread)
-           .Began(3, 0, "m-a1")
-           .Began(3, 1, "m-a2")
-           .Began(4, 2, "m-a1")},
-      {"spread: two of four in a zone", "",
+           .Started(3, 0, "m-a1")
+           .Started(3, 1, "m-a2")
+           .Started(4, 2, "m-a1")},
+      {"spread: two of four tasks in one zone", "",
        HistoryBuilder()
            .Accepted(spread)
-           .Began(3, 0, "m-a1")
-           .Began(3, 1, "m-a2")
-           .Began(4, 2, "m-b")},
+           .Started(3, 0, "m-a1")
+           .Started(3, 1, "m-a2")
+           .Started(4, 2, "m-b")},
   };
 }
 
 HistoryCases RanCancelledCases() {
   return {
-      {"a start after the time to cancel", "ran_cancelled",
+      {"task starts after cancel timeout", "ran_cancelled",
        HistoryBuilder()
            .Accepted(Spec())
            .Cancelled(5, 6)
-           .Began(66.1, 0, "m-a1")
-           .Left(66.1, 0, "m-a1")},
-      {"a task that stays after the time to cancel", "ran_cancelled",
+           .Started(66.1, 0, "m-a1")
+           .Ended(66.1, 0, "m-a1")},
+      {"task ends after cancel timeout", "ran_cancelled",
        HistoryBuilder()
            .Accepted(Spec())
-           .Began(3, 0, "m-a1")
+           .Started(3, 0, "m-a1")
            .Cancelled(5, 6)
-           .Left(66.1, 0, "m-a1", false)},
-      {"a task that never leaves", "ran_cancelled",
-       HistoryBuilder().Accepted(Spec()).Began(3, 0, "m-a1").Cancelled(5, 6)},
-      {"a start and an end within the time", "",
+           .Ended(66.1, 0, "m-a1", false)},
+      {"task never ends after cancellation", "ran_cancelled",
+       HistoryBuilder().Accepted(Spec()).Started(3, 0, "m-a1").Cancelled(5, 6)},
+      {"task starts and ends within cancel timeout", "",
        HistoryBuilder()
            .Accepted(Spec())
            .Cancelled(5, 6)
-           .Began(65, 0, "m-a1")
-           .Left(65.9, 0, "m-a1")},
+           .Started(65, 0, "m-a1")
+           .Ended(65.9, 0, "m-a1")},
   };
 }
 
 HistoryCases ForgottenCases() {
   return {
-      {"an accepted job gets 404", "forgotten",
-       HistoryBuilder().Accepted(Spec()).Began(3, 0, "m-a1").Answered(4, AnsweredState::kUnknown)},
-      {"a job gets 404 before it is accepted", "",
-       HistoryBuilder().At(1, JobSubmitted{Spec()}).Answered(2, AnsweredState::kUnknown)},
-      {"an accepted job is refused when it is submitted again", "forgotten",
+      {"accepted job gets 404", "forgotten",
        HistoryBuilder()
            .Accepted(Spec())
-           .Began(3, 0, "m-a1")
-           .Answered(4, AnsweredState::kRefused, UserRequest::kSubmit)},
-      {"its polls fail for 95 s while others are answered", "forgotten",
+           .Started(3, 0, "m-a1")
+           .Answered(4, ReportedState::kUnknown)},
+      {"job gets 404 before acceptance", "",
+       HistoryBuilder().At(1, JobSubmitted{Spec()}).Answered(2, ReportedState::kUnknown)},
+      {"accepted job is rejected when submitted again", "forgotten",
        HistoryBuilder()
            .Accepted(Spec())
-           .Began(3, 0, "m-a1")
-           .PollsFail(10, 105, AnsweredState::kLive)},
-      {"its polls fail for 80 s", "",
+           .Started(3, 0, "m-a1")
+           .Answered(4, ReportedState::kRejected, UserRequest::kSubmit)},
+      {"polls fail for 95 s while others are answered", "forgotten",
        HistoryBuilder()
            .Accepted(Spec())
-           .Began(3, 0, "m-a1")
-           .PollsFail(10, 90, AnsweredState::kLive)},
+           .Started(3, 0, "m-a1")
+           .PollsFail(10, 105, ReportedState::kActive)},
+      {"polls fail for 80 s", "",
+       HistoryBuilder()
+           .Accepted(Spec())
+           .Started(3, 0, "m-a1")
+           .PollsFail(10, 90, ReportedState::kActive)},
       {"all polls fail for 95 s", "",
        HistoryBuilder()
            .Accepted(Spec())
-           .Began(3, 0, "m-a1")
-           .PollsFail(10, 105, AnsweredState::kNoAnswer)},
+           .Started(3, 0, "m-a1")
+           .PollsFail(10, 105, ReportedState::kNoAnswer)},
   };
 }
 
 HistoryCases InventedCases() {
   return {
-      {"a job that nobody submitted is known", "invented",
-       HistoryBuilder().Answered(4, AnsweredState::kLive)},
-      {"a task of a job that nobody submitted", "invented", HistoryBuilder().Began(4, 0, "m-a1")},
-      {"a job that nobody submitted gets 404", "",
-       HistoryBuilder().Answered(4, AnsweredState::kUnknown)},
+      {"job that was not submitted is known", "invented",
+       HistoryBuilder().Answered(4, ReportedState::kActive)},
+      {"task of a job that was not submitted starts", "invented",
+       HistoryBuilder().Started(4, 0, "m-a1")},
+      {"job that was not submitted gets 404", "",
+       HistoryBuilder().Answered(4, ReportedState::kUnknown)},
   };
 }
 
@@ -256,61 +260,61 @@
       {"done with one task of two", "not_done",
        HistoryBuilder()
            .Accepted(Spec())
-           .Began(3, 0, "m-a1")
-           .Left(5, 0, "m-a1")
-           .Answered(6, AnsweredState::kDone)},
-      {"done with a task that was stopped", "not_done",
+           .Started(3, 0, "m-a1")
+           .Ended(5, 0, "m-a1")
+           .Answered(6, ReportedState::kDone)},
+      {"done with a stopped task", "not_done",
        HistoryBuilder()
            .Accepted(Spec(1))
-           .Began(3, 0, "m-a1")
-           .Left(5, 0, "m-a1", false)
-           .Answered(6, AnsweredState::kDone)},
+           .Started(3, 0, "m-a1")
+           .Ended(5, 0, "m-a1", false)
+           .Answered(6, ReportedState::kDone)},
   };
 }
 
 HistoryCases WentBackCases() {
   return {
-      {"live after it was done", "went_back",
+      {"active after done", "went_back",
        HistoryBuilder()
            .Accepted(Spec(1))
-           .Began(3, 0, "m-a1")
-           .Left(5, 0, "m-a1")
-           .Answered(6, AnsweredState::kDone)
-           .Answered(7, AnsweredState::kLive)},
-      {"an answer that was overtaken", "",
+           .Started(3, 0, "m-a1")
+           .Ended(5, 0, "m-a1")
+           .Answered(6, ReportedState::kDone)
+           .Answered(7, ReportedState::kActive)},
+      {"active in an answer to a request sent before done", "",
        HistoryBuilder()
            .Accepted(Spec(1))
-           .Began(3, 0, "m-a1")
-           .Left(5, 0, "m-a1")
-           .Answered(6, AnsweredState::kDone)
-           .Answered(7, AnsweredState::kLive, UserRequest::kPoll, 1.5)},
-      {"cancelled after it was done", "went_back",
+           .Started(3, 0, "m-a1")
+           .Ended(5, 0, "m-a1")
+           .Answered(6, ReportedState::kDone)
+           .Answered(7, ReportedState::kActive, UserRequest::kPoll, 1.5)},
+      {"cancelled after done", "went_back",
        HistoryBuilder()
            .Accepted(Spec(1))
-           .Began(3, 0, "m-a1")
-           .Left(5, 0, "m-a1")
-           .Answered(6, AnsweredState::kDone)
+           .Started(3, 0, "m-a1")
+           .Ended(5, 0, "m-a1")
+           .Answered(6, ReportedState::kDone)
            .Cancelled(7, 8)},
-      {"live after it was cancelled", "went_back",
+      {"active after cancelled", "went_back",
        HistoryBuilder()
            .Accepted(Spec())
-           .Began(3, 0, "m-a1")
-           .Left(4, 0, "m-a1", false)
+           .Started(3, 0, "m-a1")
+           .Ended(4, 0, "m-a1", false)
            .Cancelled(5, 6)
-           .Answered(7, AnsweredState::kLive)},
-      {"cancelled, which nobody asked for", "went_back",
+           .Answered(7, ReportedState::kActive)},
+      {"cancelled without a request", "went_back",
        HistoryBuilder()
            .Accepted(Spec())
-           .Began(3, 0, "m-a1")
-           .Left(4, 0, "m-a1", false)
-           .Answered(5, AnsweredState::kCancelled)},
+           .Started(3, 0, "m-a1")
+           .Ended(4, 0, "m-a1", false)
+           .Answered(5, ReportedState::kCancelled)},
   };
 }
 
 HistoryCases NothingRanCases() {
   return {
-      {"accepted, and nothing runs", "nothing_ran", HistoryBuilder().Accepted(Spec())},
-      {"nothing accepted, and nothing runs", "", HistoryBuilder().At(1, JobSubmitted{Spec()})},
+      {"job accepted and no task runs", "nothing_ran", HistoryBuilder().Accepted(Spec())},
+      {"nothing job accepted and no task runs", "", HistoryBuilder().At(1, JobSubmitted{Spec()})},
   };
 }
 
@@ -323,17 +327,17 @@
   return all;
 }
 
-TEST(CheckerTest, FindsEachViolationAndNoOther) {
+TEST(CheckerTest, ReportsExactlyTheViolatedRules) {
   for (const HistoryCase& test : AllCases())
     EXPECT_EQ(test.history.Violations(), test.violated) << test.name;
 }
 
-TEST(CheckerTest, CountsAllViolationsAndKeepsAFew) {
+TEST(CheckerTest, CountsAllViolationsAndReportsFewPerRule) {
   Checker checker({{}, kCancel, Seconds{90}});
   constexpr std::uint64_t kTimes = 40;
   for (std::uint64_t i = 0; i < kTimes; ++i)
     checker.Observe(
-        {{1.0}, UserAnswered{{"j-9"}, UserRequest::kPoll, AnsweredState::kDone, {0.5}}});
+        {{1.0}, UserAnswered{{"j-9"}, UserRequest::kPoll, ReportedState::kDone, {0.5}}});
   EXPECT_EQ(checker.violation_counts().at(Rule::kInvented), kTimes);
   EXPECT_LT(checker.violations().size(), 10U);
 }
--- a/tests/load_test_scenario_test.cc
+++ b/tests/load_test_scenario_test.cc
@@ -1,4 +1,4 @@
-// Scenarios of load tests: what is wrong is told in one line with the file and the key.
+// Tests of load test scenarios: defaults, and errors of one line that name the file and the key.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -8,7 +8,7 @@
 namespace magpie::load_test {
 namespace {
 
-constexpr char kGood[] = R"(
+constexpr char kValidScenario[] = R"(
 zones = ["a", "b"]
 [[cloud.types]]
 name = "plain"
@@ -19,22 +19,22 @@
 share = 1.0
 )";
 
-std::string Fault(const std::string& text) {
+std::string ParseError(const std::string& text) {
   try {
     ParseScenario(text, "play.toml");
-  } catch (const BadScenario& e) {
+  } catch (const InvalidScenario& e) {
     return e.what();
   }
   return "none";
 }
 
-std::string With(const char* more, const char* text = kGood) {
+std::string Append(const char* suffix, const char* text = kValidScenario) {
   std::string all = text;
-  return all.append(more);
+  return all.append(suffix);
 }
 
 TEST(ScenarioTest, MissingSettingsHaveDefaults) {
-  const Scenario scenario = ParseScenario(kGood, "play.toml");
+  const Scenario scenario = ParseScenario(kValidScenario, "play.toml");
   EXPECT_EQ(scenario.controllers.count, 3U);
   ASSERT_EQ(scenario.classes.size(), 1U);
   EXPECT_EQ(scenario.classes[0].teams, std::vector<std::string>{"red"});
@@ -43,12 +43,12 @@
 
 TEST(ScenarioTest, EachErrorNamesFileAndKey) {
   struct Row {
-    const char* more;
-    const char* fault;
+    const char* suffix;
+    const char* error;
   };
   for (const Row& row : {
-           Row{"colour = 1\n", "play.toml: classes[0].colour: is no known key"},
-           Row{"[state]\nrpm = 5\n", "play.toml: state.rpm: is no known key"},
+           Row{"colour = 1\n", "play.toml: classes[0].colour: is not a known key"},
+           Row{"[state]\nrpm = 5\n", "play.toml: state.rpm: is not a known key"},
            Row{"[state]\nrps = \"x\"\n", "play.toml: state.rps: must be a number"},
            Row{"[state]\nrps = 0\n", "play.toml: state.rps: is out of range"},
            Row{"[controllers]\ncount = 0\n", "play.toml: controllers.count: is out of range"},
@@ -56,38 +56,40 @@
            Row{"[[classes]]\nname = \"more\"\nshare = 0.5\n",
                "play.toml: classes: the shares must add up to 1"},
            Row{"[[classes]]\nshare = 0.5\n", "play.toml: classes[1].name: is missing"},
-           Row{"teams = [\"blue\"]\n", "play.toml: classes[0].teams: blue is no team"},
+           Row{"teams = [\"blue\"]\n",
+               "play.toml: classes[0].teams: blue is not a team of the scenario"},
            Row{"priority = \"urgent\"\n",
                "play.toml: classes[0].priority: must be production, high, standard or low"},
-           Row{"[[faults]]\nkind = \"flood\"\n", "play.toml: faults[0].kind: is no known fault"},
+           Row{"[[faults]]\nkind = \"flood\"\n",
+               "play.toml: faults[0].kind: is not a known kind of fault"},
            Row{"[[faults]]\nkind = \"zone\"\nzone = \"c\"\n",
-               "play.toml: faults[0].zone: c is no zone"},
+               "play.toml: faults[0].zone: c is not a zone of the scenario"},
            Row{"[[teams]]\n", "play.toml: teams[1].name: is missing"},
        })
-    EXPECT_EQ(Fault(With(row.more)), row.fault);
-  EXPECT_EQ(Fault(""), "play.toml: zones: is missing");
-  EXPECT_EQ(Fault("zones = [\"a\"]\n"), "play.toml: cloud.types: is missing");
-  EXPECT_TRUE(Fault("zones = [").starts_with("play.toml: "));
-  EXPECT_THROW(LoadScenario("no such file.toml"), BadScenario);
+    EXPECT_EQ(ParseError(Append(row.suffix)), row.error);
+  EXPECT_EQ(ParseError(""), "play.toml: zones: is missing");
+  EXPECT_EQ(ParseError("zones = [\"a\"]\n"), "play.toml: cloud.types: is missing");
+  EXPECT_TRUE(ParseError("zones = [").starts_with("play.toml: "));
+  EXPECT_THROW(LoadScenario("no such file.toml"), InvalidScenario);
 }
 
 TEST(ScenarioTest, CommandLineIsValidated) {
-  const auto fault = [](std::uint32_t workers, double starts, double seconds) -> std::string {
-    Scenario scenario = ParseScenario(kGood, "play.toml");
+  const auto error = [](std::uint32_t workers, double starts, double seconds) -> std::string {
+    Scenario scenario = ParseScenario(kValidScenario, "play.toml");
     scenario.workers = workers;
     scenario.starts = starts;
     scenario.measured = {seconds};
     try {
       CheckCommandLine(scenario, "play.toml");
-    } catch (const BadScenario& e) {
+    } catch (const InvalidScenario& e) {
       return e.what();
     }
     return "none";
   };
-  EXPECT_EQ(fault(1, 1, 1), "none");
-  EXPECT_EQ(fault(0, 1, 1), "play.toml: --workers: must be at least 1");
-  EXPECT_EQ(fault(1, 0, 1), "play.toml: --starts: is out of range");
-  EXPECT_EQ(fault(1, 1, -1), "play.toml: --for: is out of range");
+  EXPECT_EQ(error(1, 1, 1), "none");
+  EXPECT_EQ(error(0, 1, 1), "play.toml: --workers: must be at least 1");
+  EXPECT_EQ(error(1, 0, 1), "play.toml: --starts: is out of range");
+  EXPECT_EQ(error(1, 1, -1), "play.toml: --for: is out of range");
 }
 
 }  // namespace
--- a/tests/load_test_services_test.cc
+++ b/tests/load_test_services_test.cc
@@ -1,4 +1,4 @@
-// The stand-in key-value service and cloud, by PROTOCOL's sentences.
+// Tests of the simulated key-value service and cloud against the rules of PROTOCOL.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -21,9 +21,9 @@
  protected:
   static StateService::Options DefaultOptions() {
     StateService::Options options;
-    options.requests_a_second = 1e6;
-    options.writes_a_second = 1e6;
-    options.kept_changes = 5;
+    options.requests_per_second = 1e6;
+    options.writes_per_second = 1e6;
+    options.max_log_entries = 5;
     return options;
   }
   static Change Put(const std::string& key, int value, std::optional<LeaseId> lease = {}) {
@@ -53,7 +53,8 @@
   EXPECT_EQ(second.status, StateStatus::kConflict);
   EXPECT_EQ(second.failed, std::vector<std::string>{"a"});
   EXPECT_EQ(service.Get("b", now)->value, Json(2));
-  EXPECT_EQ(Commit({{"a", first.tick}}, {}).tick, first.tick) << "comparing changes nothing";
+  EXPECT_EQ(Commit({{"a", first.tick}}, {}).tick, first.tick)
+      << "conditions alone create no revision";
   EXPECT_EQ(Commit({{"a", first.tick}}, {{"a", {}, {}}}).status, StateStatus::kOk);
   EXPECT_FALSE(service.Get("a", now));
 }
@@ -69,17 +70,17 @@
 TEST_F(StateServiceTest, ExpiredLeasesDeleteTheirKeys) {
   const LeaseId lease = service.Grant({5}, now);
   Commit({}, {Put("a", 1, lease), Put("b", 1, lease), Put("c", 1)});
-  Commit({}, {Put("b", 2)});  // without the lease it is detached
+  Commit({}, {Put("b", 2)});  // a put without a lease detaches the key
   now = now + Seconds{4};
   EXPECT_EQ(service.KeepAlive(lease, now), StateStatus::kOk);
   now = now + Seconds{5};
-  EXPECT_TRUE(service.Get("a", now)) << "never early";
+  EXPECT_TRUE(service.Get("a", now)) << "the lease must not end early";
   now = now + Seconds{0.1};
   EXPECT_FALSE(service.Get("a", now));
   EXPECT_TRUE(service.Get("b", now));
-  EXPECT_EQ(service.KeepAlive(lease, now), StateStatus::kAbsent);
+  EXPECT_EQ(service.KeepAlive(lease, now), StateStatus::kNotFound);
   const StateCommit late = Commit({}, {Put("a", 1, lease)});
-  EXPECT_EQ(late.status, StateStatus::kBad);
+  EXPECT_EQ(late.status, StateStatus::kInvalid);
   EXPECT_STREQ(late.error, "no such lease");
   const LeaseId second = service.Grant({5}, now);
   Commit({}, {Put("d", 1, second)});
@@ -87,7 +88,7 @@
   EXPECT_FALSE(service.Get("d", now));
 }
 
-TEST_F(StateServiceTest, LeasesHaveTheirFullTimeAfterAnOutage) {
+TEST_F(StateServiceTest, OutageEndRestartsLeaseDurations) {
   const LeaseId lease = service.Grant({5}, now);
   now = now + Seconds{60};
   service.EndOutage(now);
@@ -106,54 +107,55 @@
   EXPECT_EQ(log.tick, service.tick());
   EXPECT_TRUE(service.Changes("a/", service.tick(), now).events.empty());
   for (int i = 0; i < 4; ++i) Commit({}, {Put("b/2", i)});
-  EXPECT_EQ(service.Changes("a/", begin, now).status, StateStatus::kTooOld);
+  EXPECT_EQ(service.Changes("a/", begin, now).status, StateStatus::kCompacted);
   EXPECT_EQ(service.Changes("b/", service.tick(), now).status, StateStatus::kOk);
 }
 
-TEST_F(StateServiceTest, RequestsOverTheLimitsAreRefused) {
+TEST_F(StateServiceTest, TransactionsOverLimitsAreRejected) {
   const std::string large(17 * 1024, 'x');
   const std::string long_key(201, 'k');
-  std::vector<Change> many;
-  std::vector<Condition> conditions;
-  for (int i = 0; i < 17; ++i) many.push_back(Put(Numbered("k", i), 1));
-  for (int i = 0; i < 65; ++i) conditions.push_back({Numbered("k", i), {0}});
-  std::vector<Change> heavy;
+  std::vector<Change> too_many_changes;
+  std::vector<Condition> too_many_conditions;
+  for (int i = 0; i < 17; ++i) too_many_changes.push_back(Put(Numbered("k", i), 1));
+  for (int i = 0; i < 65; ++i) too_many_conditions.push_back({Numbered("k", i), {0}});
+  std::vector<Change> large_total;
   for (int i = 0; i < 5; ++i)
-    heavy.push_back({Numbered("h", i), Json(std::string(14 * 1024, 'x')), {}});
-  const std::vector<std::pair<const char*, Transaction>> bad = {
-      {"operations", {{}, many}},
-      {"conditions", {conditions, {}}},
-      {"a value", {{}, {{"a", Json(large), {}}}}},
-      {"all of it", {{}, heavy}},
-      {"a key", {{}, {Put(long_key, 1)}}},
-      {"a key with a space", {{}, {Put("a b", 1)}}},
+    large_total.push_back({Numbered("h", i), Json(std::string(14 * 1024, 'x')), {}});
+  const std::vector<std::pair<const char*, Transaction>> invalid_transactions = {
+      {"number of operations", {{}, too_many_changes}},
+      {"number of conditions", {too_many_conditions, {}}},
+      {"size of a value", {{}, {{"a", Json(large), {}}}}},
+      {"total size", {{}, large_total}},
+      {"length of a key", {{}, {Put(long_key, 1)}}},
+      {"key with a space", {{}, {Put("a b", 1)}}},
   };
-  for (const auto& [what, transaction] : bad)
-    EXPECT_EQ(service.Commit(transaction, now).status, StateStatus::kBad) << what;
+  for (const auto& [what, transaction] : invalid_transactions)
+    EXPECT_EQ(service.Commit(transaction, now).status, StateStatus::kInvalid) << what;
 }
 
-TEST_F(StateServiceTest, RateLimitAllowsABurstOfASecond) {
+TEST_F(StateServiceTest, RateLimitAllowsBurstOfOneSecond) {
   StateService::Options options = DefaultOptions();
-  options.requests_a_second = 10;
-  options.writes_a_second = 4;
+  options.requests_per_second = 10;
+  options.writes_per_second = 4;
   StateService limited(options);
   int admitted = 0;
   for (int i = 0; i < 20; ++i) admitted += limited.Admit(now) ? 1 : 0;
   EXPECT_EQ(admitted, 10);
   const Transaction one{{{"a", {77}}}, {Put("a", 1)}};
   for (int i = 0; i < 4; ++i)
-    EXPECT_EQ(limited.Commit(one, now).status, StateStatus::kConflict) << "they count as well";
-  EXPECT_EQ(limited.Commit(one, now).status, StateStatus::kOverRate);
+    EXPECT_EQ(limited.Commit(one, now).status, StateStatus::kConflict)
+        << "conflicting writes count against the rate";
+  EXPECT_EQ(limited.Commit(one, now).status, StateStatus::kRateLimited);
   now = now + Seconds{0.25};
   EXPECT_EQ(limited.Commit(one, now).status, StateStatus::kConflict);
 }
 
-// What the controllers' client writes is what the stand-in reads.
+// The simulated service must read what the controllers' client writes.
 TEST(LoadTestCodecTest, TransactionsRoundTrip) {
   const Transaction sent{{{"a", {4}}}, {{"b", Json{{"x", 1}}, LeaseId{7}}, {"c", {}, {}}}};
   const Transaction read = TransactionFromJson(TransactionToJson(sent));
-  ASSERT_EQ(read.conditions.size(), 1U);
-  EXPECT_EQ(read.conditions[0].revision, Revision{4});
+  ASSERT_EQ(read.too_many_conditions.size(), 1U);
+  EXPECT_EQ(read.too_many_conditions[0].revision, Revision{4});
   ASSERT_EQ(read.changes.size(), 2U);
   EXPECT_EQ(read.changes[0].value, sent.changes[0].value);
   EXPECT_EQ(read.changes[0].lease, sent.changes[0].lease);
@@ -163,7 +165,7 @@
 TEST(LoadTestCodecTest, MalformedMessagesAreRejected) {
   EXPECT_THROW(TransactionFromJson(Json{{"when", 1}}), protocol::InvalidMessage);
   EXPECT_THROW(TransactionFromJson(Json{{"apply", {{{"put", "a"}}}}}), protocol::InvalidMessage);
-  EXPECT_THROW(LeaseLifeFromJson(Json{{"life_ms", "x"}}), protocol::InvalidMessage);
+  EXPECT_THROW(LeaseDurationFromJson(Json{{"life_ms", "x"}}), protocol::InvalidMessage);
   EXPECT_THROW(QueryCount("/kv?page=x", "page"), protocol::InvalidMessage);
 }
 
@@ -171,12 +173,12 @@
   EXPECT_EQ(QueryField("/kv?under=c/&after=c/7&page=5", "after"), "c/7");
   EXPECT_EQ(QueryCount("/kv?under=c/&page=5", "page"), 5U);
   EXPECT_FALSE(QueryField("/kv", "page"));
-  EXPECT_EQ(StateFromAnswer(200, R"({"mood":"done"})"), AnsweredState::kDone);
-  EXPECT_EQ(StateFromAnswer(201, R"({"mood":"queued"})"), AnsweredState::kLive);
-  EXPECT_EQ(StateFromAnswer(200, "nonsense"), AnsweredState::kNoAnswer);
-  EXPECT_EQ(StateFromAnswer(404, ""), AnsweredState::kUnknown);
-  EXPECT_EQ(StateFromAnswer(422, ""), AnsweredState::kRefused);
-  EXPECT_EQ(StateFromAnswer(503, ""), AnsweredState::kNoAnswer);
+  EXPECT_EQ(StateFromAnswer(200, R"({"mood":"done"})"), ReportedState::kDone);
+  EXPECT_EQ(StateFromAnswer(201, R"({"mood":"queued"})"), ReportedState::kActive);
+  EXPECT_EQ(StateFromAnswer(200, "nonsense"), ReportedState::kNoAnswer);
+  EXPECT_EQ(StateFromAnswer(404, ""), ReportedState::kUnknown);
+  EXPECT_EQ(StateFromAnswer(422, ""), ReportedState::kRejected);
+  EXPECT_EQ(StateFromAnswer(503, ""), ReportedState::kNoAnswer);
   EXPECT_EQ(AnswerFromReply(200, R"({"crest":5,"calls":[]})").token, FencingToken{5});
   EXPECT_EQ(AnswerFromReply(421, R"({"home_roost":"n1"})").destination, "n1");
   EXPECT_EQ(AnswerFromReply(503, "{}").kind, agent::Answer::Kind::kFailed);
@@ -187,20 +189,20 @@
   Cloud::Options Options() {
     Cloud::Options options;
     options.types = {{"plain", {8, 0, 32}, 10, 1, 1, 0.4, {10}, {"a", "b"}}};
-    options.most_machines = 4;
+    options.max_machines = 4;
     options.list_lag = {3};
     return options;
   }
   Cloud::Hooks Hooks() {
     return {[this](const CloudMachine& machine) {
-              Tell("rented ", machine.id);
+              RecordHook("rented ", machine.id);
               return "127.0.0.1:9";
             },
-            [this](const MachineId& id) { Tell("up ", id); },
-            [this](const MachineId& id) { Tell("released ", id); }};
+            [this](const MachineId& id) { RecordHook("up ", id); },
+            [this](const MachineId& id) { RecordHook("released ", id); }};
   }
-  void Tell(const char* what, const MachineId& machine) {
-    told.append(what).append(machine.value).append(", ");
+  void RecordHook(const char* what, const MachineId& machine) {
+    hook_calls.append(what).append(machine.value).append(", ");
   }
   RentalResult Provision(const std::string& name, std::uint32_t count,
                          const std::string& zone = "a") {
@@ -212,7 +214,7 @@
       cloud.Advance(now);
     }
   }
-  // Names of what is listed, with their moods' first letters.
+  // The names of the listed machines, each with the first letter of its state.
   std::string Listed() {
     std::string text;
     for (const ListedMachine& machine : cloud.ListAfter({}, 500, now).machines)
@@ -220,7 +222,7 @@
     return text;
   }
 
-  std::string told;
+  std::string hook_calls;
   Instant now{100};
   Cloud cloud{Options(), Hooks()};
 };
@@ -230,31 +232,32 @@
   EXPECT_EQ(first.machines.size(), 2U);
   EXPECT_EQ(Provision("r-1", 2).machines, first.machines);
   EXPECT_EQ(cloud.machines(), 2U);
-  EXPECT_EQ(Provision("r-2", 3).machines.size(), 2U) << "up to what there is";
+  EXPECT_EQ(Provision("r-2", 3).machines.size(), 2U) << "limited by the free capacity of the cloud";
   EXPECT_EQ(Provision("r-3", 1).status, CloudStatus::kNoCapacity);
   cloud.Release({first.machines[0], {"vm-none"}});
-  EXPECT_EQ(Provision("r-3", 1).status, CloudStatus::kOk) << "a refused name may be sent again";
-  EXPECT_EQ(Provision("r-4", 1, "c").status, CloudStatus::kBad);
-  EXPECT_EQ(Provision("r-5", 51).status, CloudStatus::kBad);
+  EXPECT_EQ(Provision("r-3", 1).status, CloudStatus::kOk)
+      << "a name without capacity may be requested again";
+  EXPECT_EQ(Provision("r-4", 1, "c").status, CloudStatus::kInvalid);
+  EXPECT_EQ(Provision("r-5", 51).status, CloudStatus::kInvalid);
 }
 
-TEST_F(CloudTest, MachinesBootFailAndLeaveAndTheListLags) {
+TEST_F(CloudTest, ListReflectsMachineLifecycleAfterLag) {
   Provision("r-1", 1);
-  EXPECT_EQ(told, "rented vm-000001, ");
+  EXPECT_EQ(hook_calls, "rented vm-000001, ");
   EXPECT_EQ(Listed(), "");
   AdvanceTime(4.5);
   EXPECT_EQ(Listed(), "vm-000001s ");
   AdvanceTime(20);
-  EXPECT_EQ(told, "rented vm-000001, up vm-000001, ");
+  EXPECT_EQ(hook_calls, "rented vm-000001, up vm-000001, ");
   EXPECT_EQ(Listed(), "vm-000001r ");
   cloud.Fail({"vm-000001"}, now);
   AdvanceTime(25);
-  EXPECT_EQ(Listed(), "vm-000001r ") << "a dead one stays listed as running for a while";
+  EXPECT_EQ(Listed(), "vm-000001r ") << "a failed machine is first listed as running";
   AdvanceTime(10);
   EXPECT_EQ(Listed(), "vm-000001f ");
   cloud.Release({{"vm-000001"}});
-  EXPECT_TRUE(told.ends_with("released vm-000001, "));
-  EXPECT_EQ(Listed(), "vm-000001f ") << "it lags";
+  EXPECT_TRUE(hook_calls.ends_with("released vm-000001, "));
+  EXPECT_EQ(Listed(), "vm-000001f ") << "the list lags";
   AdvanceTime(5);
   EXPECT_EQ(Listed(), "");
 }
--- a/tests/simulated_worker_test.cc
+++ b/tests/simulated_worker_test.cc
@@ -1,4 +1,4 @@
-// The worker without tasks' work: what its effects do to the tasks and to time.
+// Tests of the simulated worker: the times at which its tasks start and end.
 #include "load_test/simulated_worker.h"
 
 #include <gtest/gtest.h>
@@ -14,16 +14,16 @@
 constexpr Seconds kRunTime{10};
 constexpr Seconds kLease{30};
 
-class Log : public TaskObserver {
+class EventLog : public TaskObserver {
  public:
-  void OnTaskBegan(const MachineId&, const TaskId& task, Attempt, Instant now) override {
+  void OnTaskStarted(const MachineId&, const TaskId& task, Attempt, Instant now) override {
     Record("began", task, now);
   }
-  void OnTaskLeft(const MachineId&, const TaskId& task, Attempt, bool completed,
-                  Instant now) override {
+  void OnTaskEnded(const MachineId&, const TaskId& task, Attempt, bool completed,
+                   Instant now) override {
     Record(completed ? "completed" : "left", task, now);
   }
-  std::string Take() { return std::exchange(text_, {}); }
+  std::string TakeText() { return std::exchange(text_, {}); }
 
  private:
   void Record(const char* what, const TaskId& task, Instant now) {
@@ -49,23 +49,25 @@
     options.agent.cache_gb = 10;
     options.agent.lease = kLease;
     options.agent.nodes = {"n0"};
-    options.fetch_gb_per_s = 0.5;  // the image of 1 GB takes 2 s
+    options.fetch_gb_per_s = 0.5;  // fetching the image of 1 GB takes 2 s
     return options;
   }
-  void Direct(std::vector<Command> commands) {
+  void SendCommands(std::vector<Command> commands) {
     worker.OnDirectCommand(FencingToken{1}, 1, commands, now);
   }
-  static Command Run(std::uint32_t index) { return {CommandKind::kRun, {{"j-1"}, index}, {1}, {}}; }
-  static Command Stop(std::uint32_t index, Seconds termination_grace_period) {
+  static Command RunCommand(std::uint32_t index) {
+    return {CommandKind::kRun, {{"j-1"}, index}, {1}, {}};
+  }
+  static Command StopCommand(std::uint32_t index, Seconds termination_grace_period) {
     return {CommandKind::kStop, {{"j-1"}, index}, {1}, termination_grace_period};
   }
-  // Time passes by whenever the worker asks to be woken.
-  void Until(double seconds) {
+  // Advances the time from one wakeup of the worker to the next.
+  void AdvanceUntil(double seconds) {
     const Instant end{seconds};
-    while (worker.Wake() < end && now < end) {
-      now = std::max(now + Seconds{0.001}, worker.Wake());
+    while (worker.NextWakeup() < end && now < end) {
+      now = std::max(now + Seconds{0.001}, worker.NextWakeup());
       worker.Advance(now);
-      if (worker.NextHeartbeat(now) && answers)
+      if (worker.NextHeartbeat(now) && answers_heartbeats)
         worker.OnAnswer({agent::Answer::Kind::kOk, FencingToken{1}, std::nullopt, {}}, now);
     }
     now = end;
@@ -73,54 +75,54 @@
   }
 
   JobLedger ledger;
-  Log log;
-  bool answers = true;
+  EventLog log;
+  bool answers_heartbeats = true;
   Instant now{0};
   SimulatedWorker worker{DefaultOptions(), ledger, log, now};
 };
 
-TEST_F(SimulatedWorkerTest, TasksFetchRunAndEndInTheirTime) {
-  Direct({Run(0), Run(1)});
-  Until(1);
-  EXPECT_EQ(log.Take(), "");
-  Until(5);
-  EXPECT_EQ(log.Take(), "began 0 at 2, began 1 at 2") << "one fetch serves both";
-  Until(20);
-  EXPECT_EQ(log.Take(), "completed 0 at 12, completed 1 at 12");
+TEST_F(SimulatedWorkerTest, TasksFetchImageRunAndCompleteOnTime) {
+  SendCommands({RunCommand(0), RunCommand(1)});
+  AdvanceUntil(1);
+  EXPECT_EQ(log.TakeText(), "");
+  AdvanceUntil(5);
+  EXPECT_EQ(log.TakeText(), "began 0 at 2, began 1 at 2") << "one fetch serves both tasks";
+  AdvanceUntil(20);
+  EXPECT_EQ(log.TakeText(), "completed 0 at 12, completed 1 at 12");
   for (const TaskStatus& task : worker.Inspect(now).tasks)
     EXPECT_EQ(task.reason, ExitReason::kDone);
 }
 
-TEST_F(SimulatedWorkerTest, StopsSaveOrKill) {
-  Direct({Run(0), Run(1)});
-  Until(5);
-  log.Take();
-  Direct({Stop(0, {10}), Stop(1, {0})});
-  EXPECT_EQ(log.Take(), "left 1 at 5");
-  Until(8);
-  EXPECT_EQ(log.Take(), "left 0 at 7") << "saved in two seconds";
+TEST_F(SimulatedWorkerTest, StopSavesWithinGracePeriodAndKillsWithout) {
+  SendCommands({RunCommand(0), RunCommand(1)});
+  AdvanceUntil(5);
+  log.TakeText();
+  SendCommands({StopCommand(0, {10}), StopCommand(1, {0})});
+  EXPECT_EQ(log.TakeText(), "left 1 at 5");
+  AdvanceUntil(8);
+  EXPECT_EQ(log.TakeText(), "left 0 at 7") << "saving takes two seconds";
 }
 
 TEST_F(SimulatedWorkerTest, ExpiredLeaseEndsAllTasks) {
   JobSpec spec = testing::MakeJob("j-2", 1);
   ledger.Add({spec, {1000}, 0});
-  Until(1);
+  AdvanceUntil(1);
   worker.OnDirectCommand(FencingToken{1}, 1, {{CommandKind::kRun, {{"j-2"}, 0}, {1}, {}}}, now);
-  Until(5);
-  log.Take();
-  answers = false;
-  Until(40);
-  const std::string ended = log.Take();
+  AdvanceUntil(5);
+  log.TakeText();
+  answers_heartbeats = false;
+  AdvanceUntil(40);
+  const std::string ended = log.TakeText();
   EXPECT_TRUE(ended.starts_with("left 0 at 3")) << ended;
   EXPECT_EQ(worker.running(), 0U);
 }
 
-TEST_F(SimulatedWorkerTest, LostMachineLosesItsTasks) {
-  Direct({Run(0)});
-  Until(5);
-  log.Take();
-  worker.Perish(now);
-  EXPECT_EQ(log.Take(), "left 0 at 5");
+TEST_F(SimulatedWorkerTest, PowerOffEndsRunningTasks) {
+  SendCommands({RunCommand(0)});
+  AdvanceUntil(5);
+  log.TakeText();
+  worker.PowerOff(now);
+  EXPECT_EQ(log.TakeText(), "left 0 at 5");
 }
 
 TEST(JobLedgerTest, TaskRunTimesVaryDeterministically) {
