--- a/tests/load_test_checker_test.cc
+++ b/tests/load_test_checker_test.cc
@@ -314,7 +314,7 @@
 HistoryCases NothingRanCases() {
   return {
       {"job accepted and no task runs", "nothing_ran", HistoryBuilder().Accepted(Spec())},
-      {"nothing job accepted and no task runs", "", HistoryBuilder().At(1, JobSubmitted{Spec()})},
+      {"no job accepted and no task runs", "", HistoryBuilder().At(1, JobSubmitted{Spec()})},
   };
 }
 
--- a/tests/load_test_services_test.cc
+++ b/tests/load_test_services_test.cc
@@ -154,8 +154,8 @@
 TEST(LoadTestCodecTest, TransactionsRoundTrip) {
   const Transaction sent{{{"a", {4}}}, {{"b", Json{{"x", 1}}, LeaseId{7}}, {"c", {}, {}}}};
   const Transaction read = TransactionFromJson(TransactionToJson(sent));
-  ASSERT_EQ(read.too_many_conditions.size(), 1U);
-  EXPECT_EQ(read.too_many_conditions[0].revision, Revision{4});
+  ASSERT_EQ(read.conditions.size(), 1U);
+  EXPECT_EQ(read.conditions[0].revision, Revision{4});
   ASSERT_EQ(read.changes.size(), 2U);
   EXPECT_EQ(read.changes[0].value, sent.changes[0].value);
   EXPECT_EQ(read.changes[0].lease, sent.changes[0].lease);
--- a/tests/load_test_tool_test.py
+++ b/tests/load_test_tool_test.py
@@ -1,4 +1,4 @@
-"""The lines that tools/load_test fits, and what it says to bad input."""
+"""Tests of tools/load_test: fits, error messages and result pages."""
 
 import importlib.machinery
 import importlib.util
@@ -25,28 +25,28 @@
 tool = load_tool()
 
 
-class Lines(unittest.TestCase):
-    def test_a_plane_is_found_without_error(self):
+class FitTest(unittest.TestCase):
+    def test_exact_plane_is_fitted_without_error(self):
         inputs = [[1.0, w, s] for w in (10.0, 20.0, 40.0) for s in (1.0, 2.0, 5.0)]
         line = tool.fit(inputs, [3 + 0.5 * w + 2 * s for _, w, s in inputs])
         for part, value in (("base", 3), ("by_worker", 0.5), ("by_start_a_second", 2)):
             self.assertAlmostEqual(line[part]["value"], value, places=6)
             self.assertAlmostEqual(line[part]["error"], 0, places=5)
 
-    def test_scatter_is_told_as_error(self):
+    def test_scatter_is_reported_as_error(self):
         inputs = [[1.0, w, s] for w in (10.0, 20.0, 40.0) for s in (1.0, 2.0, 5.0)]
         noise = [0.3, -0.3, 0.1, -0.2, 0.2, -0.1, 0.3, -0.3, 0.0]
         line = tool.fit(inputs, [w + e for (_, w, _), e in zip(inputs, noise)])
         self.assertGreater(line["by_worker"]["error"], 0.001)
         self.assertLess(abs(line["by_worker"]["value"] - 1), 3 * line["by_worker"]["error"])
 
-    def test_points_that_do_not_tell_give_no_line(self):
+    def test_underdetermined_points_give_no_fit(self):
         self.assertIsNone(tool.fit([[1.0, 10.0, 1.0]] * 5, [1.0] * 5))
         self.assertIsNone(tool.fit([[1.0, 1.0, 2.0], [1.0, 2.0, 1.0]], [1.0, 2.0]))
 
 
-class BadInput(unittest.TestCase):
-    def test_one_line_and_code_two(self):
+class InvalidInputTest(unittest.TestCase):
+    def test_error_is_one_line_and_exit_code_2(self):
         with tempfile.TemporaryDirectory() as folder:
             damaged = pathlib.Path(folder) / "damaged"
             damaged.mkdir()
@@ -66,7 +66,7 @@
                 self.assertIn(names, done.stderr)
                 self.assertEqual(done.stderr.count("\n"), 1, done.stderr)
 
-    def test_ladders_of_nothing_are_refused(self):
+    def test_invalid_worker_lists_are_rejected(self):
         for workers in ("0", "", "x", "-1", "nan"):
             done = subprocess.run(
                 [sys.executable, TOOL, "slopes", "x.toml", "--workers", workers],
@@ -77,8 +77,8 @@
             self.assertEqual(done.returncode, 2, workers)
 
 
-class Pages(unittest.TestCase):
-    def test_a_page_has_the_figures_and_the_verdict(self):
+class PageTest(unittest.TestCase):
+    def test_page_contains_values_and_failures(self):
         row = {"count": 5, "median_s": 0.1, "p99_s": 0.5, "worst_s": 1.5}
         results = {
             "ok": False,
