--- a/src/load_test/checker.cc
+++ b/src/load_test/checker.cc
@@ -52,7 +52,7 @@
   std::visit([&](const auto& payload) { On(payload, event.at); }, event.payload);
 }
 
-void Checker::On(const MachineUp& event, Instant) {
+void Checker::On(const MachineBooted& event, Instant) {
   machines_[event.machine.value] = {event.type, event.zone, event.spot};
 }
 
@@ -148,15 +148,14 @@
 }
 
 void Checker::CheckCancelled(const Job& job, const TaskId& task, const char* what, Instant at) {
-  if (job.final_state != ReportedState::kCancelled ||
-      at <= *job.final_since + options_.cancel_timeout)
+  if (job.final != ReportedState::kCancelled || at <= *job.final_since + options_.cancel_timeout)
     return;
   AddViolation(Rule::kRanCancelled, at,
                TaskIdText(task) + " " + what + " " + std::to_string((at - *job.final_since).value) +
                    " s after its user received the cancellation");
 }
 
-void Checker::On(const UserAnswered& event, Instant at) {
+void Checker::On(const UserRequestAnswered& event, Instant at) {
   const auto found = jobs_.find(event.job.value);
   const bool reports_job_as_known = event.state == ReportedState::kActive ||
                                     event.state == ReportedState::kDone ||
@@ -176,7 +175,7 @@
   }
 }
 
-void Checker::CheckPolls(Job& job, const UserAnswered& event, Instant at) {
+void Checker::CheckPolls(Job& job, const UserRequestAnswered& event, Instant at) {
   if (event.request != UserRequest::kPoll) return;
   const bool answered = event.state != ReportedState::kNoAnswer;
   CountPoll(answered, at);
@@ -194,7 +193,7 @@
 
 // An answer must not contradict a final state that was received before its request was sent. A
 // final state that was received while the request was in flight can be newer than the answer.
-void Checker::CheckFinal(Job& job, const UserAnswered& event, Instant at) {
+void Checker::CheckFinal(Job& job, const UserRequestAnswered& event, Instant at) {
   const std::string& id = event.job.value;
   if (job.accepted && event.state == ReportedState::kUnknown)
     AddViolation(Rule::kForgotten, at, id + " was accepted and is unknown");
@@ -206,17 +205,17 @@
     AddViolation(Rule::kNotDone, at,
                  id + " is done with " + std::to_string(job.completed_count) + " of " +
                      std::to_string(job.spec.tasks) + " tasks");
-  if (job.final_since && event.state != job.final_state) {
+  if (job.final_since && event.state != job.final) {
     const bool sent_before_final =
         event.state == ReportedState::kActive && event.sent <= *job.final_since;
     if (!sent_before_final)
       AddViolation(Rule::kWentBack, at, id + " had a final state and is reported in another state");
   }
-  const bool is_final =
+  const bool final =
       event.state == ReportedState::kDone || event.state == ReportedState::kCancelled;
-  if (!is_final || job.final_since) return;
+  if (!final || job.final_since) return;
   job.final_since = at;
-  job.final_state = event.state;
+  job.final = event.state;
 }
 
 void Checker::CountPoll(bool answered, Instant at) {
--- a/src/load_test/checker.h
+++ b/src/load_test/checker.h
@@ -79,7 +79,7 @@
     bool accepted = false;
     std::optional<Instant> cancel_requested;
     std::optional<Instant> final_since;  // when a user first received a final state
-    ReportedState final_state = ReportedState::kActive;
+    ReportedState final = ReportedState::kActive;
     std::vector<bool> completed;  // by task index
     std::uint32_t completed_count = 0;
     std::map<std::uint32_t, std::vector<Place>> places;  // of tasks on machines, by task index
@@ -94,18 +94,18 @@
     std::uint64_t failed = 0;
   };
 
-  void On(const MachineUp& event, Instant at);
+  void On(const MachineBooted& event, Instant at);
   void On(const TaskStarted& event, Instant at);
   void On(const TaskEnded& event, Instant at);
   void On(const JobSubmitted& event, Instant at);
-  void On(const UserAnswered& event, Instant at);
+  void On(const UserRequestAnswered& event, Instant at);
   void On(const CancelRequested& event, Instant at);
 
   void CheckPlacement(const Job& job, const TaskId& task, const Machine& machine, Instant at);
   void CheckQuota(const JobSpec& spec, Instant at);
   void CheckCancelled(const Job& job, const TaskId& task, const char* what, Instant at);
-  void CheckPolls(Job& job, const UserAnswered& event, Instant at);
-  void CheckFinal(Job& job, const UserAnswered& event, Instant at);
+  void CheckPolls(Job& job, const UserRequestAnswered& event, Instant at);
+  void CheckFinal(Job& job, const UserRequestAnswered& event, Instant at);
   void CountPoll(bool answered, Instant at);
   bool MostPollsWereAnswered(Instant at) const;
   void AddViolation(Rule rule, Instant at, std::string text);
--- a/src/load_test/cloud.cc
+++ b/src/load_test/cloud.cc
@@ -5,7 +5,7 @@
 namespace magpie::load_test {
 namespace {
 
-constexpr Seconds kBurst{2};
+constexpr Seconds kBurstDuration{2};
 constexpr std::uint32_t kMaxRentedPerRequest = 50;
 constexpr std::size_t kMaxReleasedPerRequest = 100;
 constexpr std::size_t kMaxPageSize = 500;
@@ -23,7 +23,7 @@
 Cloud::Cloud(Options options, Hooks hooks)
     : options_(std::move(options)),
       hooks_(std::move(hooks)),
-      requests_(options_.requests_per_second, kBurst),
+      requests_(options_.requests_per_second, kBurstDuration),
       random_(static_cast<std::minstd_rand::result_type>(options_.seed)) {}
 
 bool Cloud::IsKnownType(const RentalRequest& request) const {
@@ -55,13 +55,13 @@
   if (!IsKnownType(request) || request.name.empty() || request.count == 0 ||
       request.count > kMaxRentedPerRequest)
     return {CloudStatus::kInvalid, {}};
-  const auto [rental, is_new] = requests_made_.try_emplace(request.name);
+  const auto [rental, is_new] = rentals_by_name_.try_emplace(request.name);
   if (!is_new) return {CloudStatus::kOk, rental->second};
   const std::size_t free_machines =
       options_.max_machines - std::min<std::size_t>(options_.max_machines, machines_.size());
   const std::size_t count = std::min<std::size_t>(request.count, free_machines);
   if (count == 0) {
-    requests_made_.erase(rental);  // a later request with the same name may succeed
+    rentals_by_name_.erase(rental);  // a later request with the same name may succeed
     return {CloudStatus::kNoCapacity, {}};
   }
   for (std::size_t i = 0; i < count; ++i)
--- a/src/load_test/cloud.h
+++ b/src/load_test/cloud.h
@@ -105,7 +105,7 @@
   Hooks hooks_;
   RateLimit requests_;
   std::minstd_rand random_;
-  std::map<std::string, std::vector<MachineId>> requests_made_;
+  std::map<std::string, std::vector<MachineId>> rentals_by_name_;
   std::map<MachineId, Machine> machines_;
   std::uint64_t last_machine_ = 0;
   std::deque<Snapshot> snapshots_;
--- a/src/load_test/controller_process.cc
+++ b/src/load_test/controller_process.cc
@@ -109,7 +109,8 @@
         << "\ntimes = " << objective.deadline_factor << "\n";
   out << "\n[cluster.workers]\nreport_s = " << scenario.heartbeat_interval.value
       << "\nlease_s = " << scenario.lease.value
-      << "\ngang_wait_s = 40.0\ngang_peer_s = 6.0\ncancel_s = " << scenario.cancel.value << "\n";
+      << "\ngang_wait_s = 40.0\ngang_peer_s = 6.0\ncancel_s = " << scenario.cancel_timeout.value
+      << "\n";
   const StateService::Options& state = scenario.state.service;
   out << "\n[cluster.state]\nrps = " << state.requests_per_second
       << "\nwrite_rps = " << state.writes_per_second << "\nvalue_kb = " << state.value_kb
--- a/src/load_test/event_loop.cc
+++ b/src/load_test/event_loop.cc
@@ -33,7 +33,7 @@
 using Executor = asio::io_context::executor_type;
 
 constexpr unsigned kHttp11 = 11;
-// Answers to watches have no size limit in PROTOCOL.
+// Large, as answers to watches have no size limit.
 constexpr std::uint64_t kMaxBodyBytes = 8UL * 1024 * 1024;
 constexpr Seconds kIdleTimeout{600};  // of a connection between requests
 constexpr Seconds kReplyTimeout{90};  // of a handler; then the connection is closed
--- a/src/load_test/event_loop.h
+++ b/src/load_test/event_loop.h
@@ -1,8 +1,8 @@
 // An event loop on one thread: HTTP servers and clients on loopback, and timers. Only event_loop.cc
 // includes Boost.Asio and Boost.Beast.
 //
-// Handlers run on the loop's thread and must not block. All functions, and the objects that a loop
-// creates, are used only on its thread, except Post, Stop and Listen.
+// Handlers run on the loop's thread and must not block. A loop and the objects that it creates are
+// used on its thread; only Post, Stop and Listen may be called from other threads.
 #pragma once
 
 #include <atomic>
@@ -74,7 +74,7 @@
     virtual ~Listener() = default;
     virtual Address address() const = 0;
   };
-  // Port 0 selects a free port. Returns null if it cannot listen. Thread-safe.
+  // Port 0 selects a free port. Returns null if it cannot listen. Any thread may call it.
   std::unique_ptr<Listener> Listen(const Address& address, Handler handler, Traffic& traffic);
 
   // A persistent connection with one request at a time. There are no callbacks after destruction.
--- a/src/load_test/history.h
+++ b/src/load_test/history.h
@@ -14,7 +14,7 @@
 namespace magpie::load_test {
 
 // A machine has booted and its worker starts.
-struct MachineUp {
+struct MachineBooted {
   MachineId machine;
   std::string type;
   std::string zone;
@@ -52,7 +52,7 @@
 enum class UserRequest : std::uint8_t { kSubmit, kPoll, kCancel };
 
 // A user's request and its response.
-struct UserAnswered {
+struct UserRequestAnswered {
   JobId job;
   UserRequest request = UserRequest::kPoll;
   ReportedState state = ReportedState::kNoAnswer;
@@ -66,7 +66,8 @@
 
 struct Event {
   Instant at;
-  std::variant<MachineUp, TaskStarted, TaskEnded, JobSubmitted, UserAnswered, CancelRequested>
+  std::variant<MachineBooted, TaskStarted, TaskEnded, JobSubmitted, UserRequestAnswered,
+               CancelRequested>
       payload;
 };
 
--- a/src/load_test/job_ledger.cc
+++ b/src/load_test/job_ledger.cc
@@ -19,7 +19,7 @@
 }  // namespace
 
 Seconds RunTimeOf(const SubmittedJob& job, std::uint32_t task) {
-  const double factor = 1 + job.spread * (2 * HashToUnitInterval(job.spec.id, task) - 1);
+  const double factor = 1 + job.run_time_spread * (2 * HashToUnitInterval(job.spec.id, task) - 1);
   return factor * job.run_time;
 }
 
--- a/src/load_test/job_ledger.h
+++ b/src/load_test/job_ledger.h
@@ -17,8 +17,8 @@
 // A job as its user submitted it, and the actual run time of its tasks.
 struct SubmittedJob {
   JobSpec spec;
-  Seconds run_time;   // mean of its tasks, without the image fetch; 0: until stopped
-  double spread = 0;  // maximum deviation of tasks, as a fraction of run_time
+  Seconds run_time;            // mean of its tasks, without the image fetch; 0: until stopped
+  double run_time_spread = 0;  // maximum deviation of tasks, as a fraction of run_time
 };
 
 // The actual run time of a task, the same on every machine and in every attempt.
--- a/src/load_test/main.cc
+++ b/src/load_test/main.cc
@@ -75,8 +75,8 @@
   try {
     magpie::load_test::Scenario scenario = magpie::load_test::LoadScenario(file);
     scenario.workers = workers;
-    scenario.starts = starts;
-    scenario.measured = {seconds};
+    scenario.starts_per_second = starts;
+    scenario.measured_duration = {seconds};
     if (!binary.empty()) scenario.binary = binary;
     magpie::load_test::CheckCommandLine(scenario, file);
     return RunScenario(std::move(scenario), file, out);
--- a/src/load_test/networked_worker.cc
+++ b/src/load_test/networked_worker.cc
@@ -65,7 +65,7 @@
 }
 
 void NetworkedWorker::Begin() {
-  recorder_.Record(MachineUp{machine_.id, machine_.type, machine_.zone, machine_.spot});
+  recorder_.Record(MachineBooted{machine_.id, machine_.type, machine_.zone, machine_.spot});
   worker_ = std::make_unique<SimulatedWorker>(OptionsOf(), jobs_, recorder_, EventLoop::Now());
   Schedule();
 }
--- a/src/load_test/networked_worker.h
+++ b/src/load_test/networked_worker.h
@@ -34,7 +34,7 @@
   // Direct commands and their responses.
   Traffic commands;
   std::atomic<std::uint64_t> redirects{0};
-  std::atomic<std::uint64_t> rejected_commands{0};  // direct commands answered with an error
+  std::atomic<std::uint64_t> rejected_commands{0};  // direct commands answered with 409
   std::atomic<std::uint64_t> failed_heartbeats{0};  // no response, or an unexpected status
 };
 
--- a/src/load_test/recorder.cc
+++ b/src/load_test/recorder.cc
@@ -24,7 +24,7 @@
     CountStart(*started, event.at);
   if (const auto* ended = std::get_if<TaskEnded>(&event.payload)) {
     completed_ += ended->completed ? 1 : 0;
-    --on_machines_;
+    --tasks_on_machines_;
   }
   checker_.Observe(event);
 }
@@ -34,7 +34,7 @@
 }
 
 void Recorder::CountStart(const TaskStarted& event, Instant at) {
-  ++on_machines_;
+  ++tasks_on_machines_;
   ++started_;
   if (first_start_from_ && !first_start_ && at >= *first_start_from_) first_start_ = at;
   const auto job = jobs_.find(event.task.job.value);
@@ -43,20 +43,20 @@
   job->second.started[event.task.index] = true;
   if (!measuring_) return;
   const Seconds took = at - job->second.submitted;
-  start_.Add(took);
-  start_by_class_[job->second.job_class].Add(took);
+  start_latency_.Add(took);
+  start_latency_by_class_[job->second.job_class].Add(took);
 }
 
 void Recorder::RecordAcceptance(Seconds took) {
   std::lock_guard lock(mutex_);
-  if (measuring_) accept_.Add(took);
+  if (measuring_) accept_latency_.Add(took);
 }
 
 void Recorder::BeginMeasuring() {
   std::lock_guard lock(mutex_);
-  start_ = {};
-  start_by_class_.clear();
-  accept_ = {};
+  start_latency_ = {};
+  start_latency_by_class_.clear();
+  accept_latency_ = {};
 }
 
 void Recorder::AwaitFirstStart(Instant from) {
@@ -82,7 +82,7 @@
 
 std::size_t Recorder::on_machines() {
   std::lock_guard lock(mutex_);
-  return on_machines_;
+  return tasks_on_machines_;
 }
 
 void Recorder::Finish() {
@@ -94,10 +94,10 @@
   std::lock_guard lock(mutex_);
   Statistics statistics;
   statistics.start_by_class = nlohmann::json::object();
-  for (const auto& [name, latency] : start_by_class_)
+  for (const auto& [name, latency] : start_latency_by_class_)
     statistics.start_by_class[name] = latency.ToJson();
-  statistics.start = start_.ToJson();
-  statistics.accept = accept_.ToJson();
+  statistics.start = start_latency_.ToJson();
+  statistics.accept = accept_latency_.ToJson();
   statistics.started = started_;
   statistics.completed = completed_;
   for (const auto& [rule, count] : checker_.violation_counts())
--- a/src/load_test/recorder.h
+++ b/src/load_test/recorder.h
@@ -69,12 +69,12 @@
   std::mutex mutex_;
   Checker checker_;
   std::unordered_map<std::string, JobTimes> jobs_;
-  std::map<std::string, Latency> start_by_class_;
-  Latency start_;
-  Latency accept_;
+  std::map<std::string, Latency> start_latency_by_class_;
+  Latency start_latency_;
+  Latency accept_latency_;
   std::uint64_t started_ = 0;
   std::uint64_t completed_ = 0;
-  std::size_t on_machines_ = 0;
+  std::size_t tasks_on_machines_ = 0;
   bool measuring_ = true;
   std::optional<Instant> first_start_from_;
   std::optional<Instant> first_start_;
--- a/src/load_test/results.cc
+++ b/src/load_test/results.cc
@@ -131,9 +131,9 @@
   nlohmann::json result;
   result["why"] = FailuresOf(scenario, measured);
   result["ok"] = result["why"].empty();
-  result["run"] = {{"scenario", measured.scenario_file},       {"workers", scenario.workers},
-                   {"starts_wanted", scenario.starts},         {"seconds", rates.seconds()},
-                   {"controllers", measured.controller_count}, {"load", measured.load_average}};
+  result["run"] = {{"scenario", measured.scenario_file},          {"workers", scenario.workers},
+                   {"starts_wanted", scenario.starts_per_second}, {"seconds", rates.seconds()},
+                   {"controllers", measured.controller_count},    {"load", measured.load_average}};
   result["tasks"] = TasksToJson(measured, rates);
   result["start_s"] = measured.statistics.start;
   result["start_s_by_class"] = measured.statistics.start_by_class;
--- a/src/load_test/run.cc
+++ b/src/load_test/run.cc
@@ -40,7 +40,7 @@
 Checker::Options CheckerOptions(const Scenario& scenario) {
   Checker::Options options;
   options.teams = scenario.teams;
-  options.cancel_timeout = scenario.cancel;
+  options.cancel_timeout = scenario.cancel_timeout;
   return options;
 }
 
@@ -88,7 +88,7 @@
   recorder_.BeginMeasuring();
   const Sample begin = TakeSample();
   faults_->Schedule(scenario_.faults, EventLoop::Now());
-  ExecuteUntil(EventLoop::Now() + scenario_.measured, kWarmUpProgress, 1);
+  ExecuteUntil(EventLoop::Now() + scenario_.measured_duration, kWarmUpProgress, 1);
   const Sample end = TakeSample();
   CallOnLoop(users_loop_, [this] {
     users_->StopArrivals();
--- a/src/load_test/run_setup.cc
+++ b/src/load_test/run_setup.cc
@@ -94,9 +94,9 @@
 void Run::SetUpUsers() {
   Users::Options options;
   options.classes = scenario_.classes;
-  options.starts = scenario_.starts;
+  options.starts_per_second = scenario_.starts_per_second;
   options.max_jobs = scenario_.max_jobs;
-  options.poll = scenario_.poll;
+  options.poll_interval = scenario_.poll_interval;
   users_ = std::make_unique<Users>(users_loop_, options, worker_context_.nodes, jobs_, recorder_,
                                    user_traffic_);
 }
--- a/src/load_test/scenario.cc
+++ b/src/load_test/scenario.cc
@@ -127,7 +127,8 @@
   scenario.heartbeat_interval = {
       section.Number("report_s", scenario.heartbeat_interval.value, 0.5, kMaxSeconds)};
   scenario.lease = {section.Number("lease_s", scenario.lease.value, 5, kMaxSeconds)};
-  scenario.cancel = {section.Number("cancel_s", scenario.cancel.value, 5, kMaxSeconds)};
+  scenario.cancel_timeout = {
+      section.Number("cancel_s", scenario.cancel_timeout.value, 5, kMaxSeconds)};
   scenario.threads = section.Count("threads", scenario.threads, 1, kMaxThreads);
   section.RejectUnknownKeys();
 }
@@ -206,9 +207,9 @@
   spec_template.single_zone = section.Bool("together", false);
   spec_template.spot = section.Bool("spot", false);
   job_class.run_time = {section.Number("run_s", 10, 0, kMaxSeconds)};
-  job_class.spread = section.Number("spread", 0.5, 0, 1);
+  job_class.run_time_spread = section.Number("spread", 0.5, 0, 1);
   job_class.share = section.Number("share", 0, 0, 1);
-  job_class.cancelled = section.Number("cancelled", 0, 0, 1);
+  job_class.cancel_fraction = section.Number("cancelled", 0, 0, 1);
   if (spec_template.kind == JobKind::kService) job_class.run_time = {};
   spec_template.estimate = job_class.run_time;
   const double deadline = section.Number("deadline_s", 0, 0, kMaxSeconds);
@@ -292,7 +293,7 @@
   ReadClasses(root, scenario);
   ReadObjectives(root, scenario);
   Section users = root.Table("users");
-  scenario.poll = {users.Number("poll_s", scenario.poll.value, 0.1, kMaxSeconds)};
+  scenario.poll_interval = {users.Number("poll_s", scenario.poll_interval.value, 0.1, kMaxSeconds)};
   scenario.max_jobs = users.Count("jobs", 0, 0, 100000000);
   users.RejectUnknownKeys();
   ReadFaults(root, scenario);
@@ -318,8 +319,9 @@
   };
   if (scenario.workers == 0) bad("--workers", "must be at least 1");
   if (scenario.workers > kMaxWorkers) bad("--workers", "is out of range");
-  if (!(scenario.starts > 0 && scenario.starts <= kMaxStarts)) bad("--starts", "is out of range");
-  if (!(scenario.measured.value > 0 && scenario.measured.value <= kMaxSeconds))
+  if (!(scenario.starts_per_second > 0 && scenario.starts_per_second <= kMaxStarts))
+    bad("--starts", "is out of range");
+  if (!(scenario.measured_duration.value > 0 && scenario.measured_duration.value <= kMaxSeconds))
     bad("--for", "is out of range");
 }
 
--- a/src/load_test/scenario.h
+++ b/src/load_test/scenario.h
@@ -26,10 +26,10 @@
   enum class Kind : std::uint8_t {
     kKillLeader,      // kills the leader's process and restarts it after `duration`
     kKillController,  // the same for a follower
-    kRack,            // some machines of a zone are unreachable
-    kZone,            // all machines of a zone are unreachable
+    kRack,            // some machines of a zone are unreachable for `duration`
+    kZone,            // all machines of a zone are unreachable for `duration`
     kMachines,        // some machines are restarted, spread over `duration`
-    kOutage,          // the key-value service rejects all requests
+    kOutage,          // the key-value service rejects all requests for `duration`
   };
   Kind kind = Kind::kKillLeader;
   Seconds at;  // from the start of the measurement
@@ -53,11 +53,11 @@
   std::vector<Objective> objectives;
   Seconds heartbeat_interval{3};
   Seconds lease{45};
-  Seconds cancel{75};
+  Seconds cancel_timeout{75};
   StateServer::Options state;
   Cloud::Options cloud;
   std::vector<JobClass> classes;
-  Seconds poll{5};
+  Seconds poll_interval{5};
   std::uint64_t max_jobs = 0;
   std::uint64_t min_starts = 0;  // the run fails with fewer task starts
   Seconds warm_up{10};
@@ -66,8 +66,8 @@
 
   // Set from the command line.
   std::uint32_t workers = 0;
-  double starts = 0;
-  Seconds measured;
+  double starts_per_second = 0;
+  Seconds measured_duration;
 };
 
 // Throws InvalidScenario.
--- a/src/load_test/state_service.cc
+++ b/src/load_test/state_service.cc
@@ -6,7 +6,7 @@
 namespace magpie::load_test {
 namespace {
 
-constexpr Seconds kBurst{1};
+constexpr Seconds kBurstDuration{1};
 constexpr std::size_t kMaxKeyLength = 200;
 constexpr std::size_t kMaxEntries = 1000;
 constexpr std::size_t kMaxRangeBytes = 512UL * 1024;
@@ -24,8 +24,8 @@
 
 StateService::StateService(Options options)
     : options_(options),
-      requests_(options.requests_per_second, kBurst),
-      writes_(options.writes_per_second, kBurst) {}
+      requests_(options.requests_per_second, kBurstDuration),
+      writes_(options.writes_per_second, kBurstDuration) {}
 
 std::optional<StateEntry> StateService::Get(const std::string& key, Instant now) {
   Expire(now);
--- a/src/load_test/state_service.h
+++ b/src/load_test/state_service.h
@@ -78,7 +78,7 @@
   StateStatus End(LeaseId lease, Instant now);
   // The changes of keys with the prefix after a revision; empty if there are none yet.
   StateLog Changes(const std::string& prefix, Revision after, Instant now);
-  // Ends expired leases and deletes their keys. All functions above do so first.
+  // Ends expired leases and deletes their keys. All functions above except Admit do so first.
   void Expire(Instant now);
   // Restarts the full duration of every lease at the end of an outage. During the outage no other
   // function may be called.
--- a/src/load_test/users.cc
+++ b/src/load_test/users.cc
@@ -66,7 +66,8 @@
 
 void Users::ScheduleArrival(std::size_t class_index) {
   const JobClass& job_class = options_.classes[class_index];
-  const double jobs_per_second = options_.starts * job_class.share / job_class.spec_template.tasks;
+  const double jobs_per_second =
+      options_.starts_per_second * job_class.share / job_class.spec_template.tasks;
   if (jobs_per_second <= 0) return;
   const Seconds delay{std::exponential_distribution<double>(jobs_per_second)(random_)};
   loop_.After(delay, [this, class_index] { CreateJob(class_index); });
@@ -79,9 +80,9 @@
   const auto job = std::make_shared<Job>();
   job->spec = MakeSpec(job_class);
   job->first_submitted = EventLoop::Now();
-  if (RandomFraction() < job_class.cancelled)
+  if (RandomFraction() < job_class.cancel_fraction)
     job->cancel_after = RandomFraction() * job_class.run_time;
-  jobs_.Add({job->spec, job_class.run_time, job_class.spread});
+  jobs_.Add({job->spec, job_class.run_time, job_class.run_time_spread});
   recorder_.Record(JobSubmitted{job->spec});
   ++counts_.submitted;
   ++unanswered_submissions_;
@@ -100,11 +101,12 @@
 }
 
 void Users::Submit(const std::shared_ptr<Job>& job) {
-  SendRequest({"POST", protocol::kJobsPath, JobToRequest(job->spec).dump()}, kSubmitTimeout,
-              [this, job](ReportedState state, Instant sent) {
-                recorder_.Record(UserAnswered{job->spec.id, UserRequest::kSubmit, state, sent});
-                OnSubmitted(job, state);
-              });
+  SendRequest(
+      {"POST", protocol::kJobsPath, JobToRequest(job->spec).dump()}, kSubmitTimeout,
+      [this, job](ReportedState state, Instant sent) {
+        recorder_.Record(UserRequestAnswered{job->spec.id, UserRequest::kSubmit, state, sent});
+        OnSubmitted(job, state);
+      });
 }
 
 void Users::OnSubmitted(const std::shared_ptr<Job>& job, ReportedState state) {
@@ -139,27 +141,29 @@
 
 void Users::SchedulePoll(const std::shared_ptr<Job>& job) {
   const double spread = 1 - kPollSpread + 2 * kPollSpread * RandomFraction();
-  loop_.After(spread * options_.poll, [this, job] { Poll(job); });
+  loop_.After(spread * options_.poll_interval, [this, job] { Poll(job); });
 }
 
 void Users::Poll(const std::shared_ptr<Job>& job) {
   if (job->ended) return;
   ++counts_.polls;
-  SendRequest({"GET", JobPath(job->spec.id), ""}, kPollTimeout,
-              [this, job](ReportedState state, Instant sent) {
-                recorder_.Record(UserAnswered{job->spec.id, UserRequest::kPoll, state, sent});
-                OnAnswer(job, state);
-                if (!job->ended) SchedulePoll(job);
-              });
+  SendRequest(
+      {"GET", JobPath(job->spec.id), ""}, kPollTimeout,
+      [this, job](ReportedState state, Instant sent) {
+        recorder_.Record(UserRequestAnswered{job->spec.id, UserRequest::kPoll, state, sent});
+        OnAnswer(job, state);
+        if (!job->ended) SchedulePoll(job);
+      });
 }
 
 void Users::Cancel(const std::shared_ptr<Job>& job) {
-  SendRequest({"POST", JobPath(job->spec.id) + "/" + protocol::kCancelSuffix, "{}"}, kSubmitTimeout,
-              [this, job](ReportedState state, Instant sent) {
-                recorder_.Record(UserAnswered{job->spec.id, UserRequest::kCancel, state, sent});
-                OnAnswer(job, state);
-                if (!job->ended) loop_.After(kRetryInterval, [this, job] { Cancel(job); });
-              });
+  SendRequest(
+      {"POST", JobPath(job->spec.id) + "/" + protocol::kCancelSuffix, "{}"}, kSubmitTimeout,
+      [this, job](ReportedState state, Instant sent) {
+        recorder_.Record(UserRequestAnswered{job->spec.id, UserRequest::kCancel, state, sent});
+        OnAnswer(job, state);
+        if (!job->ended) loop_.After(kRetryInterval, [this, job] { Cancel(job); });
+      });
 }
 
 void Users::OnAnswer(const std::shared_ptr<Job>& job, ReportedState state) {
@@ -168,11 +172,11 @@
   --open_;
   ++(state == ReportedState::kDone ? counts_.done : counts_.cancelled);
   loop_.After(kFinalPollDelay, [this, job] {
-    SendRequest(
-        {"GET", JobPath(job->spec.id), ""}, kPollTimeout,
-        [this, job](ReportedState final_state, Instant sent) {
-          recorder_.Record(UserAnswered{job->spec.id, UserRequest::kPoll, final_state, sent});
-        });
+    SendRequest({"GET", JobPath(job->spec.id), ""}, kPollTimeout,
+                [this, job](ReportedState final_state, Instant sent) {
+                  recorder_.Record(
+                      UserRequestAnswered{job->spec.id, UserRequest::kPoll, final_state, sent});
+                });
   });
 }
 
@@ -181,7 +185,7 @@
   const JobId id{JobIdText(kFirstUnknownJob + static_cast<std::uint64_t>(1000 * RandomFraction()))};
   SendRequest({"GET", JobPath(id), ""}, kPollTimeout,
               [this, id](ReportedState state, Instant sent) {
-                recorder_.Record(UserAnswered{id, UserRequest::kPoll, state, sent});
+                recorder_.Record(UserRequestAnswered{id, UserRequest::kPoll, state, sent});
               });
 }
 
--- a/src/load_test/users.h
+++ b/src/load_test/users.h
@@ -22,18 +22,18 @@
   JobSpec spec_template;           // without id, team and submission time
   std::vector<std::string> teams;  // drawn with equal probability
   Seconds run_time;                // mean of its tasks
-  double spread = 0;               // maximum deviation of run times, as a fraction
+  double run_time_spread = 0;      // maximum deviation of run times, as a fraction
   double share = 0;                // of all task starts
-  double cancelled = 0;            // fraction of the jobs that are cancelled
+  double cancel_fraction = 0;      // fraction of the jobs that are cancelled
 };
 
 class Users {
  public:
   struct Options {
     std::vector<JobClass> classes;
-    double starts = 1;           // tasks per second of all classes
-    std::uint64_t max_jobs = 0;  // 0: no limit
-    Seconds poll{5};
+    double starts_per_second = 1;  // tasks of all classes
+    std::uint64_t max_jobs = 0;    // 0: no limit
+    Seconds poll_interval{5};
     std::uint64_t seed = 1;
   };
   struct Counts {
--- a/tests/load_test_checker_test.cc
+++ b/tests/load_test_checker_test.cc
@@ -24,11 +24,11 @@
 class HistoryBuilder {
  public:
   HistoryBuilder() {
-    At(0, MachineUp{{"m-a1"}, "plain", "a", false});
-    At(0, MachineUp{{"m-a2"}, "plain", "a", false});
-    At(0, MachineUp{{"m-b"}, "plain", "b", false});
-    At(0, MachineUp{{"m-spot"}, "plain", "a", true});
-    At(0, MachineUp{{"m-great"}, "great", "a", false});
+    At(0, MachineBooted{{"m-a1"}, "plain", "a", false});
+    At(0, MachineBooted{{"m-a2"}, "plain", "a", false});
+    At(0, MachineBooted{{"m-b"}, "plain", "b", false});
+    At(0, MachineBooted{{"m-spot"}, "plain", "a", true});
+    At(0, MachineBooted{{"m-great"}, "great", "a", false});
   }
   template <typename Payload>
   HistoryBuilder& At(double at, Payload payload) {
@@ -41,7 +41,7 @@
   }
   HistoryBuilder& Answered(double at, ReportedState state, UserRequest request = UserRequest::kPoll,
                            double took = 0.1) {
-    return At(at, UserAnswered{kJob, request, state, {at - took}});
+    return At(at, UserRequestAnswered{kJob, request, state, {at - took}});
   }
   HistoryBuilder& Started(double at, std::uint32_t task, const std::string& machine) {
     return At(at, TaskStarted{{machine}, {kJob, task}});
@@ -61,7 +61,7 @@
     for (double at = from; at <= until; at += 5) {
       Answered(at, ReportedState::kNoAnswer, UserRequest::kPoll, 2);
       for (int i = 0; i < 2; ++i)
-        At(at, UserAnswered{other.id, UserRequest::kPoll, other_state, {at - 0.1}});
+        At(at, UserRequestAnswered{other.id, UserRequest::kPoll, other_state, {at - 0.1}});
     }
     return *this;
   }
@@ -337,7 +337,7 @@
   constexpr std::uint64_t kTimes = 40;
   for (std::uint64_t i = 0; i < kTimes; ++i)
     checker.Observe(
-        {{1.0}, UserAnswered{{"j-9"}, UserRequest::kPoll, ReportedState::kDone, {0.5}}});
+        {{1.0}, UserRequestAnswered{{"j-9"}, UserRequest::kPoll, ReportedState::kDone, {0.5}}});
   EXPECT_EQ(checker.violation_counts().at(Rule::kInvented), kTimes);
   EXPECT_LT(checker.violations().size(), 10U);
 }
--- a/tests/load_test_scenario_test.cc
+++ b/tests/load_test_scenario_test.cc
@@ -77,8 +77,8 @@
   const auto error = [](std::uint32_t workers, double starts, double seconds) -> std::string {
     Scenario scenario = ParseScenario(kValidScenario, "play.toml");
     scenario.workers = workers;
-    scenario.starts = starts;
-    scenario.measured = {seconds};
+    scenario.starts_per_second = starts;
+    scenario.measured_duration = {seconds};
     try {
       CheckCommandLine(scenario, "play.toml");
     } catch (const InvalidScenario& e) {
