--- a/bench/binding_world.cc
+++ b/bench/binding_world.cc
@@ -135,7 +135,7 @@
   return std::move(result_);
 }
 
-void ChurnSimulation::OnTaskBegan(const MachineId&, const TaskId& task, Attempt, Instant now) {
+void ChurnSimulation::OnTaskStarted(const MachineId&, const TaskId& task, Attempt, Instant now) {
   ++result_.tasks_started;
   const auto it = submitted_at_.find(task.job);
   if (it != submitted_at_.end()) start_latencies_.push_back((now - it->second).value);
@@ -157,7 +157,7 @@
 }
 
 void ChurnSimulation::ScheduleWakeUp(std::size_t worker) {
-  const Instant at = std::max(workers_[worker]->Wake(), now_ + kTimeStep);
+  const Instant at = std::max(workers_[worker]->NextWakeup(), now_ + kTimeStep);
   next_wake_up_[worker] = at;
   wake_ups_.push({at, worker});
 }
--- a/src/load_test/cloud.h
+++ b/src/load_test/cloud.h
@@ -1,5 +1,5 @@
-// The cloud of PROTOCOL as a state machine: rentals by name, machines that boot, a list
-// that lags, capacity and a rate. The caller tells the time. Not safe for threads.
+// The cloud of PROTOCOL as a state machine: idempotent rentals by name, boot times, a delayed
+// machine list, limited capacity and a request rate. The caller passes the time. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -26,14 +26,14 @@
   std::uint32_t count = 0;
 };
 
-enum class CloudStatus : std::uint8_t { kOk, kOverRate, kNoCapacity, kBad };
+enum class CloudStatus : std::uint8_t { kOk, kRateLimited, kNoCapacity, kInvalid };
 
 struct RentalResult {
   CloudStatus status = CloudStatus::kOk;
   std::vector<MachineId> machines;
 };
 
-// A machine to be set up or taken down by whoever runs the workers.
+// A machine as it is passed to the hooks that create and remove workers.
 struct CloudMachine {
   MachineId id;
   std::string type;
@@ -45,48 +45,48 @@
  public:
   struct Options {
     std::vector<MachineType> types;
-    std::uint32_t most_machines = 1000;  // that there can be at once
-    double requests_a_second = 10;
+    std::uint32_t max_machines = 1000;  // at the same time
+    double requests_per_second = 10;
     Seconds list_lag{6};
-    double boot_spread = 0.4;  // boots take up to so much less or more than is stated
+    double boot_spread = 0.4;  // a boot takes the stated time, less or more up to this fraction
     std::uint64_t seed = 1;
   };
   struct Hooks {
-    // A machine was rented; gives the address at which its worker will listen.
-    std::function<std::string(const CloudMachine&)> rented;
-    std::function<void(const MachineId&)> up;  // it has booted
-    // It is given back, and all on it is gone once this returns.
-    std::function<void(const MachineId&)> released;
+    // Called when a machine is rented; returns the address at which its worker will listen.
+    std::function<std::string(const CloudMachine&)> on_rented;
+    std::function<void(const MachineId&)> on_booted;  // called when the machine has booted
+    // Called when the machine is released. All its tasks have ended when this returns.
+    std::function<void(const MachineId&)> on_released;
   };
 
   Cloud(Options options, Hooks hooks);
 
-  bool Admit(Instant now) { return requests_.Take(1, now); }
+  bool Admit(Instant now) { return requests_.TryAcquire(1, now); }
   const std::vector<MachineType>& types() const { return options_.types; }
-  // A repeated name brings what it brought before.
+  // A repeated name returns the machines of the first request with that name.
   RentalResult Provision(const RentalRequest& request, Instant now);
   CloudStatus Release(const std::vector<MachineId>& machines);
-  // As it was a lag ago, by name, beginning after `after`.
+  // The machines as of `list_lag` ago, ordered by name, from the first name after `after`.
   struct List {
     std::vector<ListedMachine> machines;
     bool more = false;
   };
   List ListAfter(const MachineId& after, std::size_t page, Instant now);
-  // Machines that are there and up from the beginning.
-  void Place(const RentalRequest& request, Instant now);
-  // Boots what is due, and keeps the lists that the lag needs.
+  // Adds machines that have already booted.
+  void AddBooted(const RentalRequest& request, Instant now);
+  // Boots machines whose boot time has passed, and takes the snapshots that lists are served from.
   void Advance(Instant now);
-  // A machine stopped on its own.
+  // Marks a machine as failed.
   void Fail(const MachineId& machine, Instant now);
 
   std::size_t machines() const { return machines_.size(); }
 
  private:
   struct Machine {
-    CloudMachine facts;
+    CloudMachine info;
     std::string addr;
     Instant rented;
-    Instant boots;
+    Instant boot_at;
     bool up = false;
     std::optional<Instant> failed;
   };
@@ -95,17 +95,17 @@
     std::vector<ListedMachine> machines;
   };
 
-  bool Knows(const RentalRequest& request) const;
-  MachineId Add(const RentalRequest& request, Instant now, Instant boots);
+  bool IsKnownType(const RentalRequest& request) const;
+  MachineId Add(const RentalRequest& request, Instant now, Instant boot_at);
   void Boot(Machine& machine);
   Seconds BootTime(const std::string& type);
-  Snapshot Snap(Instant now) const;
+  Snapshot TakeSnapshot(Instant now) const;
 
   Options options_;
   Hooks hooks_;
   RateLimit requests_;
   std::minstd_rand random_;
-  std::map<std::string, std::vector<MachineId>> requests_made_;
+  std::map<std::string, std::vector<MachineId>> rentals_by_name_;
   std::map<MachineId, Machine> machines_;
   std::uint64_t last_machine_ = 0;
   std::deque<Snapshot> snapshots_;
--- a/src/load_test/history.h
+++ b/src/load_test/history.h
@@ -1,5 +1,5 @@
-// What users and workers of a load test saw, in the order in which it happened. All of it
-// is seen in one process, so one steady clock orders it.
+// Events that the users and workers of a load test observe, in their order. All are observed in one
+// process, so one steady clock orders them.
 #pragma once
 
 #include <cstdint>
@@ -13,22 +13,22 @@
 
 namespace magpie::load_test {
 
-// A machine is up: its worker begins.
-struct MachineUp {
+// A machine has booted and its worker starts.
+struct MachineBooted {
   MachineId machine;
   std::string type;
   std::string zone;
   bool spot = false;
 };
 
-// A task has its image and takes its place on the machine.
-struct TaskBegan {
+// A task starts on a machine, after its image was fetched.
+struct TaskStarted {
   MachineId machine;
   TaskId task;
 };
 
-// A task is not on the machine any more.
-struct TaskLeft {
+// A task is no longer on the machine.
+struct TaskEnded {
   MachineId machine;
   TaskId task;
   bool completed = false;
@@ -39,24 +39,24 @@
   JobSpec spec;
 };
 
-// What an answer says of a job.
-enum class AnsweredState : std::uint8_t {
-  kLive,  // queued or running
+// The state of a job in a response.
+enum class ReportedState : std::uint8_t {
+  kActive,  // queued or running
   kDone,
   kCancelled,
   kUnknown,   // 404
-  kRefused,   // 400 or 422, to a submission
-  kNoAnswer,  // any other status, or none in time
+  kRejected,  // 400 or 422 to a submission
+  kNoAnswer,  // any other status, or no response in time
 };
 
 enum class UserRequest : std::uint8_t { kSubmit, kPoll, kCancel };
 
-// A user's request and the answer to it.
-struct UserAnswered {
+// A user's request and its response.
+struct UserRequestAnswered {
   JobId job;
   UserRequest request = UserRequest::kPoll;
-  AnsweredState state = AnsweredState::kNoAnswer;
-  Instant sent;  // when the request was
+  ReportedState state = ReportedState::kNoAnswer;
+  Instant sent;  // the time of the request
 };
 
 // The first attempt to cancel a job.
@@ -66,7 +66,9 @@
 
 struct Event {
   Instant at;
-  std::variant<MachineUp, TaskBegan, TaskLeft, JobSubmitted, UserAnswered, CancelRequested> what;
+  std::variant<MachineBooted, TaskStarted, TaskEnded, JobSubmitted, UserRequestAnswered,
+               CancelRequested>
+      payload;
 };
 
 }  // namespace magpie::load_test
--- a/src/load_test/main.cc
+++ b/src/load_test/main.cc
@@ -1,4 +1,4 @@
-// load_test: runs controllers, as they are deployed, among thousands of simulated workers.
+// load_test: runs deployed controller programs with thousands of simulated workers.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 #include <unistd.h>
@@ -15,18 +15,18 @@
 
 namespace {
 
-constexpr int kRunFailed = 1;
-constexpr int kBadInput = 2;
+constexpr int kExitRunFailed = 1;
+constexpr int kExitInvalidInput = 2;
 
-// A line that is written over; nothing where nobody watches.
-void ShowProgress(double part, const std::string& words) {
-  static const bool watched = isatty(STDERR_FILENO) != 0;
-  if (!watched) return;
+// Rewrites one progress line; prints nothing unless standard error is a terminal.
+void ShowProgress(double fraction, const std::string& status) {
+  static const bool is_terminal = isatty(STDERR_FILENO) != 0;
+  if (!is_terminal) return;
   constexpr int kWidth = 40;
-  const int done = static_cast<int>(part * kWidth);
-  std::cerr << "\r[" << std::string(static_cast<std::size_t>(done), '#')
-            << std::string(static_cast<std::size_t>(kWidth - done), '.') << "] " << words << "   "
-            << std::flush;
+  const int done_width = static_cast<int>(fraction * kWidth);
+  std::cerr << "\r[" << std::string(static_cast<std::size_t>(done_width), '#')
+            << std::string(static_cast<std::size_t>(kWidth - done_width), '.') << "] " << status
+            << "   " << std::flush;
 }
 
 int RunScenario(magpie::load_test::Scenario scenario, const std::string& file,
@@ -34,17 +34,17 @@
   magpie::load_test::Run run(std::move(scenario), file, out, ShowProgress);
   const nlohmann::json result = run.Execute();
   const std::filesystem::path path = std::filesystem::path(out) / "result.json";
-  std::ofstream written(path);
-  written << result.dump(2) << "\n";
-  written.close();
-  if (!written) {
-    std::cerr << path.string() << ": can't be written\n";
-    return kBadInput;
+  std::ofstream output(path);
+  output << result.dump(2) << "\n";
+  output.close();
+  if (!output) {
+    std::cerr << path.string() << ": cannot write the result file\n";
+    return kExitInvalidInput;
   }
   std::cerr << "\n";
-  for (const auto& why : result["why"]) std::cerr << why.get<std::string>() << "\n";
+  for (const auto& failure : result["why"]) std::cerr << failure.get<std::string>() << "\n";
   std::cout << path.string() << "\n";
-  return result["ok"].get<bool>() ? 0 : kRunFailed;
+  return result["ok"].get<bool>() ? 0 : kExitRunFailed;
 }
 
 }  // namespace
@@ -61,31 +61,31 @@
   std::uint32_t workers = 0;
   double starts = 0;
   double seconds = 60;
-  run->add_option("scenario", file, "the scenario (TOML)")->required();
-  run->add_option("--workers", workers, "simulated workers")->required();
-  run->add_option("--starts", starts, "tasks that users want started a second")->required();
-  run->add_option("--for", seconds, "seconds that are measured");
-  run->add_option("--out", out, "folder for the figures, settings and logs");
-  run->add_option("--binary", binary, "the controllers' program, in place of the scenario's");
+  run->add_option("scenario", file, "scenario file (TOML)")->required();
+  run->add_option("--workers", workers, "number of simulated workers")->required();
+  run->add_option("--starts", starts, "task starts per second that users request")->required();
+  run->add_option("--for", seconds, "seconds to measure, after the warm-up");
+  run->add_option("--out", out, "directory for results, settings and logs");
+  run->add_option("--binary", binary, "controller program, instead of the one in the scenario");
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& e) {
-    return app.exit(e) == 0 ? 0 : kBadInput;
+    return app.exit(e) == 0 ? 0 : kExitInvalidInput;
   }
   try {
     magpie::load_test::Scenario scenario = magpie::load_test::LoadScenario(file);
     scenario.workers = workers;
-    scenario.starts = starts;
-    scenario.measured = {seconds};
+    scenario.starts_per_second = starts;
+    scenario.measured_duration = {seconds};
     if (!binary.empty()) scenario.binary = binary;
     magpie::load_test::CheckCommandLine(scenario, file);
     return RunScenario(std::move(scenario), file, out);
-  } catch (const magpie::load_test::BadScenario& e) {
+  } catch (const magpie::load_test::InvalidScenario& e) {
     std::cerr << e.what() << "\n";
-  } catch (const magpie::load_test::CannotRun& e) {
+  } catch (const magpie::load_test::RunSetupError& e) {
     std::cerr << e.what() << "\n";
   } catch (const std::filesystem::filesystem_error& e) {
     std::cerr << out << ": " << e.code().message() << "\n";
   }
-  return kBadInput;
+  return kExitInvalidInput;
 }
--- a/src/load_test/recorder.cc
+++ b/src/load_test/recorder.cc
@@ -6,24 +6,25 @@
 
 Recorder::Recorder(Checker::Options options) : checker_(std::move(options)) {}
 
-Instant Recorder::Clock() { return EventLoop::Now(); }
+Instant Recorder::CurrentTime() { return EventLoop::Now(); }
 
-void Recorder::OnTaskBegan(const MachineId& machine, const TaskId& task, Attempt, Instant) {
-  Record(TaskBegan{machine, task});
+void Recorder::OnTaskStarted(const MachineId& machine, const TaskId& task, Attempt, Instant) {
+  Record(TaskStarted{machine, task});
 }
 
-void Recorder::OnTaskLeft(const MachineId& machine, const TaskId& task, Attempt, bool completed,
-                          Instant) {
-  Record(TaskLeft{machine, task, completed});
+void Recorder::OnTaskEnded(const MachineId& machine, const TaskId& task, Attempt, bool completed,
+                           Instant) {
+  Record(TaskEnded{machine, task, completed});
 }
 
-void Recorder::Take(const Event& event) {
-  if (const auto* submitted = std::get_if<JobSubmitted>(&event.what))
+void Recorder::ProcessEvent(const Event& event) {
+  if (const auto* submitted = std::get_if<JobSubmitted>(&event.payload))
     CountSubmission(*submitted, event.at);
-  if (const auto* began = std::get_if<TaskBegan>(&event.what)) CountStart(*began, event.at);
-  if (const auto* left = std::get_if<TaskLeft>(&event.what)) {
-    completed_ += left->completed ? 1 : 0;
-    --on_machines_;
+  if (const auto* started = std::get_if<TaskStarted>(&event.payload))
+    CountStart(*started, event.at);
+  if (const auto* ended = std::get_if<TaskEnded>(&event.payload)) {
+    completed_ += ended->completed ? 1 : 0;
+    --tasks_on_machines_;
   }
   checker_.Observe(event);
 }
@@ -32,41 +33,41 @@
   jobs_[event.spec.id.value] = {at, event.spec.job_class, std::vector<bool>(event.spec.tasks)};
 }
 
-void Recorder::CountStart(const TaskBegan& event, Instant at) {
-  ++on_machines_;
+void Recorder::CountStart(const TaskStarted& event, Instant at) {
+  ++tasks_on_machines_;
   ++started_;
-  if (awaited_from_ && !awaited_ && at >= *awaited_from_) awaited_ = at;
+  if (first_start_from_ && !first_start_ && at >= *first_start_from_) first_start_ = at;
   const auto job = jobs_.find(event.task.job.value);
   if (job == jobs_.end() || event.task.index >= job->second.started.size()) return;
-  if (job->second.started[event.task.index]) return;  // it starts once more
+  if (job->second.started[event.task.index]) return;  // a later attempt
   job->second.started[event.task.index] = true;
   if (!measuring_) return;
   const Seconds took = at - job->second.submitted;
-  start_.Add(took);
-  start_by_class_[job->second.job_class].Add(took);
+  start_latency_.Add(took);
+  start_latency_by_class_[job->second.job_class].Add(took);
 }
 
-void Recorder::NoteAccepted(Seconds took) {
+void Recorder::RecordAcceptance(Seconds took) {
   std::lock_guard lock(mutex_);
-  if (measuring_) accept_.Add(took);
+  if (measuring_) accept_latency_.Add(took);
 }
 
 void Recorder::BeginMeasuring() {
   std::lock_guard lock(mutex_);
-  start_ = {};
-  start_by_class_.clear();
-  accept_ = {};
+  start_latency_ = {};
+  start_latency_by_class_.clear();
+  accept_latency_ = {};
 }
 
-void Recorder::AwaitStart(Instant from) {
+void Recorder::AwaitFirstStart(Instant from) {
   std::lock_guard lock(mutex_);
-  awaited_from_ = from;
-  awaited_.reset();
+  first_start_from_ = from;
+  first_start_.reset();
 }
 
 std::optional<Instant> Recorder::first_start_since() {
   std::lock_guard lock(mutex_);
-  return awaited_;
+  return first_start_;
 }
 
 std::uint64_t Recorder::started() {
@@ -81,29 +82,29 @@
 
 std::size_t Recorder::on_machines() {
   std::lock_guard lock(mutex_);
-  return on_machines_;
+  return tasks_on_machines_;
 }
 
 void Recorder::Finish() {
   std::lock_guard lock(mutex_);
-  checker_.Finish(Clock());
+  checker_.Finish(CurrentTime());
 }
 
-Recorder::Figures Recorder::figures() {
+Recorder::Statistics Recorder::statistics() {
   std::lock_guard lock(mutex_);
-  Figures figures;
-  figures.start_by_class = nlohmann::json::object();
-  for (const auto& [name, latency] : start_by_class_)
-    figures.start_by_class[name] = latency.ToJson();
-  figures.start = start_.ToJson();
-  figures.accept = accept_.ToJson();
-  figures.started = started_;
-  figures.completed = completed_;
+  Statistics statistics;
+  statistics.start_by_class = nlohmann::json::object();
+  for (const auto& [name, latency] : start_latency_by_class_)
+    statistics.start_by_class[name] = latency.ToJson();
+  statistics.start = start_latency_.ToJson();
+  statistics.accept = accept_latency_.ToJson();
+  statistics.started = started_;
+  statistics.completed = completed_;
   for (const auto& [rule, count] : checker_.violation_counts())
-    figures.violation_counts[NameOf(rule)] = count;
+    statistics.violation_counts[RuleName(rule)] = count;
   for (const Violation& violation : checker_.violations())
-    figures.violations.push_back(std::string(NameOf(violation.rule)) + ": " + violation.text);
-  return figures;
+    statistics.violations.push_back(std::string(RuleName(violation.rule)) + ": " + violation.text);
+  return statistics;
 }
 
 }  // namespace magpie::load_test
