--- a/src/scheduling/candidate_index.cc
+++ b/src/scheduling/candidate_index.cc
@@ -8,8 +8,8 @@
 
 // Planned machines are numbered by name, so machines with adjacent indexes were often provisioned
 // together in one zone. Equal candidates are chosen in a scattered order, so that the failure of a
-// zone or a spot market does not hit all the work of one hour. Fibonacci hashing maps every index
-// to a distinct number.
+// zone or a spot market does not affect all tasks that were placed within the same hour. Fibonacci
+// hashing maps every index to a distinct number.
 std::uint32_t ScatteredOrder(std::uint32_t machine_index) {
   constexpr std::uint32_t kFibonacciMultiplier = 2654435769U;
   return machine_index * kFibonacciMultiplier;
--- a/src/scheduling/candidate_index.h
+++ b/src/scheduling/candidate_index.h
@@ -44,7 +44,7 @@
 
   // The candidates of one kind of machine.
   struct KindCandidates {
-    Heap available_now;  // machines that accept commands and fit a task at once
+    Heap available_now;  // machines that accept commands and have free capacity for a task now
     Heap all;  // available now or later; filled only if `available_now` has no suitable candidate
   };
 
--- a/src/scheduling/candidate_selector.cc
+++ b/src/scheduling/candidate_selector.cc
@@ -23,8 +23,8 @@
   return EarliestFinishing();
 }
 
-// Checks the kinds that were added to the plan since the last call. Kinds that the job must not
-// use, or whose zone is full for it, are skipped entirely.
+// Checks the kinds that were added to the plan since the last call. Kinds are left out if the job
+// must not use them or may have no more tasks in their zone.
 void CandidateSelector::AddAllowedKinds() {
   for (; checked_kinds_ < plan_.by_kind().size(); ++checked_kinds_) {
     const KindInfo& info = state_.kinds.all()[checked_kinds_];
@@ -93,7 +93,8 @@
           available_now,  candidate.wait,    state_.run_times.ExpectedOnKind(job_, kind.kind)};
 }
 
-// The zone may have become full after the kinds were checked; it stays full for the round.
+// After the kinds were checked, the job may have got its last allowed task in the zone; the zone is
+// then excluded for the rest of the round.
 bool CandidateSelector::IsZoneStillAllowed(const AllowedKind& kind) const {
   return IsZoneAllowed(job_, state_.kinds.all()[kind.kind].kind.zone);
 }
@@ -110,7 +111,7 @@
   const AllowedKind* best_kind = nullptr;
   CandidateIndex::Candidate best;
   for (const AllowedKind& kind : kinds_) {
-    // Kinds are sorted: all following kinds are less preferred, whatever their candidates.
+    // Kinds are sorted: all following kinds are less preferred, regardless of their candidates.
     if (best_kind != nullptr && std::tie(best_kind->on_demand, best_kind->machine_cpus) <
                                     std::tie(kind.on_demand, kind.machine_cpus))
       break;
--- a/src/scheduling/candidate_selector.h
+++ b/src/scheduling/candidate_selector.h
@@ -1,4 +1,4 @@
-// Selects the machine for each next task of one job by the slack rule.
+// Selects the machine for the next task of a job by the slack rule.
 #pragma once
 
 #include <cstddef>
@@ -27,8 +27,8 @@
     Instant start;  // when the machine has free capacity for the task, before the image fetch
   };
 
-  // All references must outlive the selector. `target`: time from now until the task should be
-  // done.
+  // All references must outlive the selector. `target`: the time, relative to now, by which the
+  // task should end.
   CandidateSelector(ClusterState& state, PlacementPlan& plan, const Job& job, Seconds target,
                     Instant now);
 
--- a/src/scheduling/consolidator.cc
+++ b/src/scheduling/consolidator.cc
@@ -10,7 +10,7 @@
 
 Consolidation Consolidator::Plan(const PlacementPlan& plan, Instant now) {
   constexpr Seconds kInterval{5};
-  constexpr double kMaxMovedFraction = 0.015;  // of all replicas; one machine can always be drained
+  constexpr double kMaxMovedFraction = 0.015;  // of Candidates::replicas; one machine may exceed it
   if (now < next_plan_at_) return {};
   const Candidates candidates = FindCandidates(plan);
   if (candidates.machines.empty()) return {};
--- a/src/scheduling/consolidator.h
+++ b/src/scheduling/consolidator.h
@@ -30,7 +30,7 @@
   // `state` must outlive this object.
   explicit Consolidator(const ClusterState& state) : state_(state) {}
 
-  // Returns the drains to start now; none within a few seconds after the last ones.
+  // Returns the drains to start now; none within a few seconds of the previous drains.
   Consolidation Plan(const PlacementPlan& plan, Instant now);
 
  private:
@@ -42,7 +42,7 @@
   };
   struct Candidates {
     std::vector<Candidate> machines;  // the most wasteful first
-    std::size_t replicas = 0;         // on all machines
+    std::size_t replicas = 0;         // on all schedulable on-demand machines that are up
   };
   struct Destination {
     const PlannedMachine* planned = nullptr;
--- a/src/scheduling/due_times.h
+++ b/src/scheduling/due_times.h
@@ -14,9 +14,9 @@
 
 namespace magpie {
 
-// Policy: a job's target is the tightest of its targets that has not passed. A job without targets
-// gets one in proportion to its predicted run time. A job within its team's guarantee must start
-// soon, whatever its class.
+// Policy: a job's target is the earliest of its targets that is still attainable, or the earliest
+// of all if none is. A job without a deadline or objective gets a target in proportion to its
+// predicted run time. A job within its team's guarantee must start soon, regardless of its class.
 class DueTimeCalculator {
  public:
   // All references must outlive the calculator.
@@ -30,8 +30,8 @@
   // Times are relative to the job's submission.
   struct Target {
     Seconds finish;
-    // Until this time the target counts as attainable. Run time estimates are wrong too often to
-    // give up a target any earlier.
+    // Until this time the target counts as attainable. It is not given up earlier, even if the
+    // estimated run time no longer fits, since estimates are often wrong.
     Seconds attainable_until;
     auto operator<=>(const Target&) const = default;
   };
--- a/src/scheduling/failure_detector.cc
+++ b/src/scheduling/failure_detector.cc
@@ -10,7 +10,7 @@
 constexpr double kMinMissedIntervals = 2.5;
 // Timeout of a machine that sends no heartbeats and does not answer probes.
 constexpr Seconds kUnansweredProbesTimeout{4};
-// Additional timeout where another controller may keep renewing leases during a partition.
+// Additional timeout in zones where another controller may keep renewing leases during a partition.
 constexpr Seconds kRenewedLeaseExtension{80};
 }  // namespace
 
@@ -27,10 +27,10 @@
   return relayed;
 }
 
-// Zones whose missing heartbeats indicate a partition rather than many machine failures: half of
-// the machines are late at once, or no machine has sent a heartbeat for longer than chance
-// explains, or many machines are relayed while the others still look for a controller that reaches
-// the leader.
+// Returns the zones where missing heartbeats indicate a partition rather than many machine
+// failures: half of the machines are late at once, or no machine has sent a heartbeat for longer
+// than chance explains, or the heartbeats of many machines are relayed while the other machines
+// still search for a controller that reaches the leader.
 std::set<std::string> FailureDetector::SuspectedZones(Instant now) {
   constexpr std::uint32_t kRelayedDivisor = 8;  // a zone is suspected if 1 in 8 machines is relayed
   constexpr double kMaxMeanGaps = 8;            // in mean times between two heartbeats of the zone
@@ -132,21 +132,21 @@
   return gap;
 }
 
-// Releasing a machine is a certain fence: once the cloud has confirmed it, no task runs or can
-// start on the machine.
+// Whether the machine must be released so that its tasks can be placed again. A release is a safe
+// fence: once the cloud has confirmed it, no task runs or can start on the machine.
 bool FailureDetector::IsLost(const Machine& machine, const HeartbeatGap& gap, Instant now) const {
   const SchedulerOptions& options = state_.options;
   if (HasOverdueCancelledTask(machine, now) && gap.length > 2.0 * options.heartbeat_interval)
     return true;
   if (machine.up) return gap.length > gap.allowed;
-  // The records assign tasks to the machine, so it was up before the takeover.
+  // The records assign tasks to the machine, so it was up before this leader took over.
   const Seconds allowed =
       gap.isolated ? gap.allowed : std::max(gap.allowed, 2.0 * options.list_lag);
   return now - state_.term.loaded_at > allowed;
 }
 
-// Whether a cancelled task may still run there after a good part of the time within which users are
-// promised that it stops.
+// Whether the machine may still run a task although a large part of the cancel deadline, which is
+// promised to users, has passed since its job was cancelled.
 bool FailureDetector::HasOverdueCancelledTask(const Machine& machine, Instant now) const {
   constexpr double kCancelDeadlineFraction = 0.4;
   return std::any_of(machine.tasks.begin(), machine.tasks.end(), [&](const HeldTask& held) {
@@ -168,7 +168,7 @@
 bool FailureDetector::IsEmptyAndUnusable(const Machine& machine, Instant now) const {
   if (!machine.tasks.empty()) return false;
   if (machine.cordoned || machine.draining || machine.preemption_deadline) return true;
-  // No task is placed on a machine whose heartbeats reach no controller. The fault may be
+  // No task is placed on a machine if its heartbeats reach no controller. The fault may be
   // temporary; if it lasts, the machine costs money without being used.
   return machine.inbound_unreachable &&
          now - machine.heartbeat_received_at > LeaseExpiryTimeout() + kRenewedLeaseExtension;
--- a/src/scheduling/failure_detector.h
+++ b/src/scheduling/failure_detector.h
@@ -2,8 +2,9 @@
 //
 // Missing heartbeats alone never free a task: a lost machine is released, and its tasks are placed
 // again only after the cloud has confirmed the release (CloudCoordinator). A wrong decision here
-// therefore costs money and time, but no task runs twice. A zone whose missing heartbeats suggest a
-// network partition gets more time, until the leases of its workers must have expired.
+// therefore costs money and time, but no task runs twice at once. In a zone where missing
+// heartbeats suggest a network partition, machines are kept until the leases of their workers must
+// have expired.
 #pragma once
 
 #include <map>
--- a/src/scheduling/headroom_planner.cc
+++ b/src/scheduling/headroom_planner.cc
@@ -105,7 +105,7 @@
 std::uint32_t HeadroomPlanner::ReplicasToReserve(const ShapeDemand& demand,
                                                  double running_replicas) const {
   // Arrivals count only up to this fraction of the running replicas, so that a burst, for example
-  // after a long outage, is not taken for the usual rate.
+  // after a long outage, is not mistaken for the usual rate.
   constexpr double kMaxArrivingFraction = 0.1;
   Seconds longest_boot{};
   for (const MachineType& type : state_.autoscaler.types())
@@ -164,7 +164,7 @@
 
 std::uint32_t HeadroomPlanner::Provision(PlanningRound& round, const JobSpec& spec,
                                          std::uint32_t replicas, Instant now) const {
-  constexpr Seconds kNoTarget{1e9};  // lets the price alone decide
+  constexpr Seconds kNoTarget{1e9};  // so far away that only the price matters
   CapacityDemand demand;
   demand.spec = &spec;
   demand.zone_allowed = [](const std::string&) { return true; };
--- a/src/scheduling/headroom_planner.h
+++ b/src/scheduling/headroom_planner.h
@@ -16,10 +16,11 @@
 
 namespace magpie {
 
-// Policy: capacity is reserved for one replica of each recent service image, on a machine that has
-// the image if possible, and for each task shape for as many replicas as the largest recent service
-// has or as arrive while a machine boots. Idle spot machines are kept while arrays of a recent
-// class may soon use them.
+// Policy: for each recent service image, capacity is reserved for SchedulerOptions::headroom
+// replicas, if possible on machines that have the image. For each task shape, the total reservation
+// is `headroom` times the replicas of the largest recent service, or `headroom` times the replicas
+// that arrive while a machine boots, whichever is more. Idle spot machines are kept while arrays of
+// a recent class may soon use them.
 class HeadroomPlanner {
  public:
   // `state` must outlive this object.
@@ -30,7 +31,8 @@
   void RecordArrival(const Job& job, std::uint32_t tasks, Instant now);
   // Reserves capacity for upcoming services, and provisions machines if there is too little.
   void ReserveForServices(PlanningRound& round, Instant now);
-  // Reserves the idle spot machines that arrays of recent classes may soon use.
+  // Reserves capacity on spot machines for the arrays of recent classes, so that idle spot machines
+  // that such arrays may soon use are kept.
   void ReserveSpotMachines(PlanningRound& round, Instant now) const;
 
  private:
--- a/src/scheduling/image_cache.h
+++ b/src/scheduling/image_cache.h
@@ -1,8 +1,8 @@
-// Numbers container images, and estimates which images each machine has cached.
+// Assigns numbers to container images, and estimates which images each machine has cached.
 //
-// Invariant: an image keeps its number until Clear(). A machine's list has its latest images first
-// and is limited by the size of its cache. It is an estimate, since workers do not report their
-// caches.
+// Invariant: an image keeps its number until Clear(). Machine::images lists the latest image first
+// and is limited by the size of the machine's cache. It is an estimate, since workers do not report
+// their caches.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 
 namespace magpie {
 
-// Numbers images, so that machines can be compared without string comparisons.
+// Assigns numbers to images, so that machines can be compared without string comparisons.
 class ImageRegistry {
  public:
   void Clear() { numbers_.clear(); }
@@ -29,8 +29,8 @@
 // Whether the machine is expected to run a task with the image without fetching it.
 bool HasImage(const Machine& machine, std::uint32_t image);
 
-// Records that the machine has fetched the job's image. The size of its cache is known only if the
-// cloud offers its type.
+// Records that the machine has the job's image, and removes the images that no longer fit in its
+// cache. The cache size is known only if the cloud offers the machine type.
 void RecordImage(Machine& machine, const Job& job, const Autoscaler& autoscaler);
 
 }  // namespace magpie
--- a/src/scheduling/job_ordering.cc
+++ b/src/scheduling/job_ordering.cc
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr double kFloorFraction = 0.25;  // of the capacity available to arrays
-// Arrays are not preempted for a higher priority while they hold at most this multiple of the
+// Arrays do not preempt arrays of lower priority while the latter hold at most this multiple of the
 // floor.
 constexpr double kMinFloorsForPreemption = 2;
 constexpr JobRank kRankAfterGuaranteed{0, 1};  // behind all jobs of the first tier
@@ -59,8 +59,8 @@
       continue;
     }
     ++position;
-    // A job that may itself be faulty gets few tasks, so that it takes no capacity or machines
-    // from others.
+    // A job that may itself be faulty runs few tasks at once, so that it does not take capacity or
+    // machines from other jobs.
     std::uint32_t max_tasks = failures.MaxConcurrentTasks(job->serial);
     if (max_tasks <= job->bound || now < failures.NotBefore(job->serial)) continue;
     if (max_tasks != FailureAttribution::kUnlimited) max_tasks -= job->bound;
@@ -81,7 +81,8 @@
     while (end < jobs.size() && jobs[end].rank == jobs[begin].rank) ++end;
     const std::span<QueuedJob> same_rank(jobs.data() + begin, end - begin);
     const Priority priority = same_rank.front().job->spec.priority;
-    // Below an overloaded priority only the floor is available, and no other work precedes it.
+    // Jobs of lower priority than a deferred job get only the floor, where no other work precedes
+    // them.
     const bool has_floor_only = lowest_deferred && priority < *lowest_deferred;
     const Seconds work =
         has_floor_only ? DeferLateJobsOfRank(same_rank, Seconds{}, kFloorFraction)
@@ -95,7 +96,7 @@
   return lowest_deferred;
 }
 
-// Defers the jobs of one rank that cannot be in time, given the work ahead of them and this
+// Defers the jobs of one rank that can meet no target, given the work ahead of them and this
 // fraction of the capacity. Returns the work of all jobs of the rank.
 Seconds JobOrdering::DeferLateJobsOfRank(std::span<QueuedJob> jobs, Seconds work_ahead,
                                          double capacity_fraction) const {
@@ -130,7 +131,7 @@
   return overdue_work + decision.planned_work + deferred_work;
 }
 
-// How long the job's waiting tasks would occupy all the capacity that they may use.
+// The time for which the job's waiting tasks would occupy all the capacity that they may use.
 Seconds JobOrdering::RemainingWork(const QueuedJob& queued) const {
   const JobSpec& spec = queued.job->spec;
   const Resources& per_task = spec.per_task;
@@ -152,7 +153,8 @@
   return {static_cast<double>(tasks) * queued.due.run_time.value / std::max(concurrent, 1.0)};
 }
 
-// The remaining work of running arrays that are not preempted for this priority.
+// The remaining work of running arrays of this or a higher priority, which jobs of this priority do
+// not preempt.
 Seconds JobOrdering::RunningWorkFrom(Priority priority) const {
   Seconds busy;
   for (auto p = static_cast<std::size_t>(priority); p < capacity_.remaining_run_time.size(); ++p)
@@ -175,8 +177,8 @@
   for (const Priority overloaded : {Priority::kNormal, Priority::kHigh, Priority::kProduction}) {
     if (!HasDeferredJob(ordered.jobs, overloaded)) continue;
     double floor_cpus_used = ArrayCpusBelow(overloaded);
-    // Less urgent work above its floor may be preempted, but not by jobs that are now ranked behind
-    // it.
+    // Jobs of the overloaded priority are now ranked behind the floor. Their arrays may preempt
+    // less urgent work only if it holds far more than the floor.
     if (floor_cpus_used <= kMinFloorsForPreemption * floor)
       ordered.max_non_preempting_priority = overloaded;
     for (QueuedJob& queued : ordered.jobs) {
--- a/src/scheduling/job_ordering.h
+++ b/src/scheduling/job_ordering.h
@@ -29,7 +29,8 @@
         capacity_(capacity),
         due_times_(state.options, state.autoscaler, state.run_times) {}
 
-  // Removes jobs without tasks left to place from the queue, and orders the others.
+  // Removes cancelled jobs and jobs without pending tasks from the queue, and orders the other jobs
+  // that may start tasks now.
   OrderedJobs Order(Instant now, WallTime wall);
 
  private:
--- a/src/scheduling/job_shape.h
+++ b/src/scheduling/job_shape.h
@@ -1,4 +1,4 @@
-// Shapes of jobs: tasks of the same shape can use the same machines.
+// Groups jobs by shape: tasks of the same shape can use the same machines.
 #pragma once
 
 #include <string>
--- a/src/scheduling/machine_kinds.h
+++ b/src/scheduling/machine_kinds.h
@@ -1,4 +1,4 @@
-// Numbers the kinds of machines seen so far.
+// Assigns numbers to kinds of machines.
 //
 // Invariant: the number of a kind never changes, so it can be stored with a machine, a plan or a
 // job. There are few kinds: types times zones times two (spot or on-demand).
@@ -29,7 +29,7 @@
 
   // Returns the number of a kind, and assigns one if the kind is new.
   std::size_t NumberOf(const MachineKind& kind);
-  // Looks up the type of each kind again; called when the types on offer have changed.
+  // Looks up the type of each kind again; called when the offered types have changed.
   void RefreshTypes();
   // Indexed by the kind's number.
   const std::vector<KindInfo>& all() const { return kinds_; }
--- a/src/scheduling/mass_failure_alarm.h
+++ b/src/scheduling/mass_failure_alarm.h
@@ -14,7 +14,7 @@
 class MassFailureAlarm {
  public:
   void Clear();
-  // A machine that sent heartbeats before did not answer its first probe.
+  // Records that a machine that sent heartbeats before did not answer its first probe.
   void RecordFailedProbe(Instant now);
   // Turns the alarm on; called when a machine is found to have failed.
   void Raise(Instant now);
--- a/src/scheduling/overdue_tasks.h
+++ b/src/scheduling/overdue_tasks.h
@@ -1,6 +1,6 @@
-// Running tasks, ordered by the time at which they have run far longer than expected.
+// Running tasks, ordered by the time at which they will have run far longer than expected.
 //
-// Invariant: a task has an entry exactly if Task::overdue is set, with that time.
+// Invariant: a task has an entry if and only if Task::overdue is set; the entry has that time.
 #pragma once
 
 #include <compare>
--- a/src/scheduling/placement_plan.h
+++ b/src/scheduling/placement_plan.h
@@ -75,7 +75,7 @@
   explicit PlanningRound(const Resources& smallest_demand) : plan(smallest_demand) {}
 
   PlacementPlan plan;
-  // A full round plans all jobs; other rounds skip what cannot start now.
+  // A full round plans all jobs; other rounds skip jobs that can neither start now nor preempt.
   bool is_full = true;
   bool may_scale_out = false;
   // Another full round could decide differently only because time has passed.
--- a/src/scheduling/plan_builder.h
+++ b/src/scheduling/plan_builder.h
@@ -18,9 +18,9 @@
 // have missed heartbeats.
 bool IsSchedulable(const Machine& machine);
 
-// Policy: the plan contains only machines that are likely to be usable. Machines without recent
-// heartbeats and suspected machines are left out, and so are machines that boot late, in place of
-// which others are provisioned.
+// Policy: the plan contains only machines that are likely to be usable. It leaves out machines
+// without recent heartbeats, suspected machines, and machines that boot late; other machines are
+// provisioned in place of the late ones.
 class PlanBuilder {
  public:
   // Both must outlive this object. AddMachines overwrites `capacity`.
@@ -38,16 +38,16 @@
   // suspected for a limited time makes the round time-dependent.
   std::optional<Instant> AvailableFrom(PlanningRound& round, const Machine& machine,
                                        const MachineType& type, Instant now) const;
-  // Adds the expected ends of the tasks that hold resources to the timeline. Returns the capacity
-  // of the machine that services leave to arrays.
+  // Adds to the timeline when array tasks and cancelled services are expected to free their
+  // resources. Returns the capacity of the machine that services leave to arrays.
   Resources AddTasks(PlanningRound& round, PlannedMachine& planned, const MachineType& type,
                      Instant now);
 
   ClusterState& state_;
   ClusterCapacity& capacity_;
   Resources without_services_;  // of all planned machines
-  std::array<Seconds, kPriorityCount>
-      busy_cpu_time_{};  // remaining CPU time of running arrays, by priority
+  // Remaining CPU time of running arrays, by priority.
+  std::array<Seconds, kPriorityCount> busy_cpu_time_{};
 };
 
 }  // namespace magpie
--- a/src/scheduling/planner.cc
+++ b/src/scheduling/planner.cc
@@ -42,7 +42,7 @@
   if (!headroom_reserved) headroom_.ReserveForServices(round, now);
   is_time_dependent_ = round.is_time_dependent;
   headroom_.ReserveSpotMachines(round, now);
-  // While machines are being provisioned, it is not known yet which ones are not needed.
+  // While machines are being provisioned, it is not yet known which machines are unneeded.
   if (!scale_out.pending && round.scale_outs.empty()) Consolidate(round.plan, now);
   PlanningResult result;
   result.planned_scale_out = round.may_scale_out;
@@ -75,7 +75,7 @@
   return round;
 }
 
-// Updates the expected boot times by recent boots and by the machines that are still booting.
+// Updates the expected boot times from recent boots and from the machines that are still booting.
 void Planner::UpdateBootTimes(Instant now) {
   for (const HeartbeatIndex::Member* member : state_.machines.heartbeats().watched()) {
     const Machine& machine = static_cast<const Machine&>(*member);
--- a/src/scheduling/planner.h
+++ b/src/scheduling/planner.h
@@ -23,7 +23,7 @@
 // Whether the planner may request machines in a round.
 struct ScaleOutStatus {
   bool allowed = false;  // machines may be requested now
-  bool pending = false;  // an earlier request is unanswered
+  bool pending = false;  // an earlier request has no response yet
 };
 
 // The decisions of a round about machines, for the caller to carry out.
@@ -57,7 +57,7 @@
   void Clear();
   // Records the arrival of a job. `tasks`: how many of its tasks count for the arrival rate.
   void RecordArrival(Job& job, std::uint32_t tasks, Instant now);
-  // Plans one round. Without waiting jobs it does so only if the result could differ from the last.
+  // Plans one round. Without waiting jobs, it plans only if the result could differ from the last.
   PlanningResult Plan(const ScaleOutStatus& scale_out, Instant now, WallTime wall);
 
  private:
--- a/src/scheduling/preemption_planner.cc
+++ b/src/scheduling/preemption_planner.cc
@@ -10,7 +10,7 @@
 
 constexpr Seconds kVictimStopTime{3};  // victims usually stop within this time
 constexpr double kMaxLossRatio = 1;    // lost CPU time per CPU time of the preempting task
-constexpr std::size_t kMaxPreemptionsPerPlan = 16;  // for one job at a time
+constexpr std::size_t kMaxPreemptionsPerPlan = 16;  // for one job
 
 // The run time, in seconds, that is lost when the task is stopped.
 double LostRunTime(const JobSpec& spec, const Task& task, Instant now) {
@@ -43,7 +43,7 @@
 
 bool PreemptionPlanner::IsAllowedOn(const PlannedMachine& planned, const Job& job) const {
   const Machine* machine = planned.machine;
-  // Commands might not reach a worker whose heartbeats are relayed by another controller.
+  // Commands might not reach a worker if another controller relays its heartbeats.
   if (!planned.available_now || machine == nullptr || machine->relayed || machine->arrays == 0)
     return false;
   const KindInfo& kind = state_.kinds.all()[planned.kind];
--- a/src/scheduling/preemption_planner.h
+++ b/src/scheduling/preemption_planner.h
@@ -21,7 +21,7 @@
 };
 
 // Policy: only arrays of lower priority and lower rank are preempted, on the machines where the
-// least run time is lost. An array does not preempt tasks if that loses more CPU time than its own
+// least CPU time is lost. An array does not preempt tasks if that loses more CPU time than its own
 // task takes. Tasks within their team's guarantee are not preempted: once stopped they would be
 // planned first again, and the capacity would alternate between both jobs.
 class PreemptionPlanner {
@@ -30,7 +30,7 @@
   explicit PreemptionPlanner(const ClusterState& state) : state_(state) {}
 
   // Returns the preemptions for the job's waiting tasks, at most one for each. The job then gets no
-  // further ones until the victims should have stopped. Arrays of priority
+  // more preemptions until the victims should have stopped. Arrays of priority
   // `max_non_preempting_priority` and below get none.
   std::vector<Preemption> Plan(const PlanningRound& round, Job& job,
                                std::optional<Priority> max_non_preempting_priority,
--- a/src/scheduling/probe_scheduler.cc
+++ b/src/scheduling/probe_scheduler.cc
@@ -24,11 +24,11 @@
   if (machine.addr.empty() || machine.command_in_flight || machine.releasing ||
       now < machine.next_probe_at)
     return false;
-  // With an outdated token, the worker may still report to an earlier leader.
+  // With an outdated token, the worker may still send heartbeats to an earlier leader.
   if (machine.up && (machine.seen_token < machine.fencing_token || machine.relayed ||
                      machine.out_of_order_messages >= kMinOutOfOrderMessages))
     return true;
-  // A machine that is still booting will report by itself.
+  // The worker of a booting machine sends its first heartbeat without a probe.
   if (!machine.up) return machine.listed_running || !machine.tasks.empty();
   return now - machine.last_heartbeat > ProbeDelay(now);
 }
@@ -55,8 +55,8 @@
   return queue_.size();
 }
 
-// Machines to probe, possibly with duplicates. The search stops at `max_with_tasks` machines with
-// tasks.
+// Returns machines to probe, possibly with duplicates. The search stops once it has found
+// `max_with_tasks` machines with tasks.
 std::vector<ProbeScheduler::ProbeCandidate> ProbeScheduler::FindCandidates(
     std::size_t max_with_tasks, Instant now) {
   const HeartbeatIndex& heartbeats = state_.machines.heartbeats();
@@ -69,7 +69,8 @@
   }
   std::size_t with_tasks = 0;
   std::size_t inspected = 0;
-  // Returns false once there are enough, or if the next machines have recent heartbeats.
+  // Returns false once enough machines are found or inspected, or if all further machines have
+  // recent heartbeats.
   const auto inspect = [&](const HeartbeatIndex::Member* member) {
     const Machine& machine = static_cast<const Machine&>(*member);
     if (now - machine.last_heartbeat < probe_delay) return false;
--- a/src/scheduling/probe_scheduler.h
+++ b/src/scheduling/probe_scheduler.h
@@ -1,8 +1,8 @@
 // Schedules probes: empty direct commands to machines without recent heartbeats.
 //
-// A probe delivers the leader's token to a worker that still reports to an earlier leader, and its
-// answer delivers the worker's heartbeat to this leader. Only a few probes are in flight at once,
-// since most workers report by themselves soon after a takeover.
+// A probe delivers the leader's token to a worker that still sends heartbeats to an earlier leader,
+// and the response delivers the worker's heartbeat to this leader. Only a few probes are in flight
+// at once, since most workers send heartbeats to the new leader soon after a takeover anyway.
 #pragma once
 
 #include <cstddef>
@@ -26,10 +26,11 @@
       : state_(state), alarm_(alarm) {}
 
   void Clear();
-  // Looks for machines to probe once the scan interval has passed; returns how many are queued.
+  // Looks for machines to probe if none is queued and the scan interval has passed. Returns how
+  // many are queued.
   std::size_t Scan(Instant now);
   std::optional<DirectCommand> Next(Instant now);
-  // Probes the machine again, before all other machines.
+  // Queues a probe of the machine before the probes of all other machines.
   void ProbeNow(Machine& machine, Instant now);
 
  private:
--- a/src/scheduling/queued_job.h
+++ b/src/scheduling/queued_job.h
@@ -1,4 +1,4 @@
-// Jobs with tasks to place, as the planner orders them.
+// Jobs with tasks to place, and the values by which the planner orders them.
 #pragma once
 
 #include <cstdint>
@@ -15,9 +15,9 @@
 
 // When a job's current tasks should be done, relative to now.
 struct DueTimes {
-  Seconds target;               // the tightest target that has not passed
+  Seconds target;               // the earliest attainable target, or the earliest if none is
   Seconds provisioning_target;  // without the guarantee, which a machine that must boot cannot meet
-  std::vector<Seconds> targets;  // those that have not passed, tightest first; empty for services
+  std::vector<Seconds> targets;  // the attainable targets, earliest first; empty for services
   Seconds run_time;              // predicted run time of one task on the largest machine type
   bool long_overdue = false;     // so late that the job is no longer deferred
 };
--- a/src/scheduling/resource_timeline.cc
+++ b/src/scheduling/resource_timeline.cc
@@ -23,7 +23,8 @@
 
 void ResourceTimeline::Reserve(Instant start, const Resources& demand, std::optional<Instant> end) {
   if (!demand.Fits(free_)) {
-    // The task waits, so everything released until its start is reserved for it.
+    // The task waits, so no other task may start on the machine before it. Resources released until
+    // its start are free from then on.
     auto release = releases_.begin();
     for (; release != releases_.end() && !demand.Fits(free_); ++release) free_ += release->released;
     releases_.erase(releases_.begin(), release);
--- a/src/scheduling/resource_timeline.h
+++ b/src/scheduling/resource_timeline.h
@@ -11,9 +11,8 @@
 
 // The resources of a machine that are free now, and the predicted releases of further resources.
 //
-// A reservation for a later start removes the resources that are free now, and every release up to
-// that start, from the timeline at once. Tasks planned later therefore cannot delay the waiting
-// task.
+// After a reservation for a later start, nothing else can start on the machine before that start,
+// so tasks planned later cannot delay the waiting task.
 class ResourceTimeline {
  public:
   // Nothing can start on the machine before `available_from` (it may still be booting).
@@ -24,8 +23,8 @@
   void AddRelease(Instant at, const Resources& released);
   // When a task with this demand could start; nullopt if the known releases do not free enough.
   std::optional<Instant> EarliestFit(const Resources& demand) const;
-  // Reserves `demand` from `start`, which EarliestFit() returned, until `end`; without one,
-  // forever.
+  // Reserves `demand` from `start`, the result of EarliestFit(), until `end`, or forever without an
+  // `end`.
   void Reserve(Instant start, const Resources& demand, std::optional<Instant> end);
   // Resources that are neither in use nor reserved.
   const Resources& free() const { return free_; }
--- a/src/scheduling/run_time_estimator.cc
+++ b/src/scheduling/run_time_estimator.cc
@@ -11,7 +11,7 @@
   return table_.ExpectedRunTime(spec, type);
 }
 
-// Called for every task on every machine, so the result is cached for each version of the table.
+// Planning calls this for every task and machine, so the result is cached per table version.
 Seconds RunTimeEstimator::ExpectedOnKind(const Job& job, std::size_t kind) const {
   constexpr double kNotCached = -1;
   if (job.runs_version != table_.version()) {
@@ -44,10 +44,10 @@
   return end > now ? end : now + std::max(kMinRemaining, kOverrunFraction * (now - task.since));
 }
 
-void RunTimeEstimator::Learn(const Machine& machine, Job& job, Seconds took) {
+void RunTimeEstimator::Learn(const Machine& machine, Job& job, Seconds run_time) {
   if (job.spec.estimate.value <= 0) return;
-  table_.Learn(job.spec, machine.type, took);
-  job.pace.Add(PaceKeyOf(machine.id), took.value / job.spec.estimate.value);
+  table_.Learn(job.spec, machine.type, run_time);
+  job.pace.Add(PaceKeyOf(machine.id), run_time.value / job.spec.estimate.value);
 }
 
 std::size_t PaceKeyOf(const MachineId& id) { return std::hash<std::string>{}(id.value); }
--- a/src/scheduling/run_time_estimator.h
+++ b/src/scheduling/run_time_estimator.h
@@ -33,8 +33,8 @@
   // When the task is expected to end. A task that has exceeded its expected run time is expected to
   // run on for a fraction of its run time so far.
   Instant ExpectedEnd(const Job& job, const Task& task, const Machine& machine, Instant now) const;
-  // Learns the run time `took` of a task of the job that completed on the machine.
-  void Learn(const Machine& machine, Job& job, Seconds took);
+  // Updates the estimates with the run time of a task of the job that completed on the machine.
+  void Learn(const Machine& machine, Job& job, Seconds run_time);
 
  private:
   const MachineKinds& kinds_;
--- a/src/scheduling/run_time_table.cc
+++ b/src/scheduling/run_time_table.cc
@@ -57,9 +57,9 @@
   return {estimate};
 }
 
-void RunTimeTable::Learn(const JobSpec& spec, const std::string& type, Seconds took) {
-  if (spec.estimate.value <= 0 || !std::isfinite(took.value) || took.value <= 0) return;
-  const double ratio = std::clamp(took.value / spec.estimate.value, kMinRatio, kMaxRatio);
+void RunTimeTable::Learn(const JobSpec& spec, const std::string& type, Seconds run_time) {
+  if (spec.estimate.value <= 0 || !std::isfinite(run_time.value) || run_time.value <= 0) return;
+  const double ratio = std::clamp(run_time.value / spec.estimate.value, kMinRatio, kMaxRatio);
   AddRatio(cells_[{type, SizeOf(spec)}], ratio);
   AddRatio(by_class_[spec.job_class], ratio);
 }
--- a/src/scheduling/run_time_table.h
+++ b/src/scheduling/run_time_table.h
@@ -36,8 +36,8 @@
  public:
   // The expected run time of a task of this job on this machine type.
   Seconds ExpectedRunTime(const JobSpec& spec, const std::string& type) const;
-  // Adds the run time `took` of a completed task.
-  void Learn(const JobSpec& spec, const std::string& type, Seconds took);
+  // Adds the run time of a completed task.
+  void Learn(const JobSpec& spec, const std::string& type, Seconds run_time);
   // Increases when an expected run time has changed.
   std::uint64_t version() const { return version_; }
 
--- a/src/scheduling/scheduler_options.h
+++ b/src/scheduling/scheduler_options.h
@@ -21,7 +21,8 @@
 
   // --- Workers
   Seconds heartbeat_interval{3};
-  Seconds lease{30};  // a worker without an answer from any controller stops its tasks after this
+  // A worker stops its tasks after this time without a response from any controller.
+  Seconds lease{30};
   Seconds cancel_deadline{60};    // time after a cancellation by which no task of the job may run
   Seconds heartbeat_timeout{12};  // a machine without heartbeats is released after this
   // Zones with a controller, which renews the workers' leases while the zone is partitioned.
@@ -39,12 +40,13 @@
   Seconds list_interval{3};     // interval of reading the cloud's machine list
   Seconds idle_timeout{20};     // an idle machine is released after this
   Seconds min_billed_time{60};  // minimum time that the cloud charges for a machine
-  // A machine that does not boot is released after this multiple of its type's expected boot time.
+  // A machine that does not boot is released at the latest after this multiple of its type's
+  // expected boot time, plus the lease.
   double boot_timeout_factor = 4;
   std::uint32_t headroom = 1;      // spare replicas of each recent service image
-  Seconds headroom_duration{600};  // how long they are kept after the last arrival
+  Seconds headroom_duration{600};  // time after the last arrival for which they are reserved
   Seconds spot_idle_timeout{90};   // how long idle spot machines are kept for recent array classes
-  Seconds min_replica_age{30};     // replicas that have run for less are not moved
+  Seconds min_replica_age{30};     // replicas that have run for less time are not moved
 
   bool log_decisions = false;  // record decisions for the log
 };
--- a/src/scheduling/slow_machine_detector.cc
+++ b/src/scheduling/slow_machine_detector.cc
@@ -13,15 +13,15 @@
 // The run time of a task that started under an earlier leader is unknown.
 void SlowMachineDetector::OnCompleted(Machine& machine, Job& job, const Task& task, Instant now) {
   if (!task.running || !task.start_observed || job.cancelled) return;
-  const Seconds took = now - task.since;
-  if (!task.overrun_counted) RecordRunTime(machine, job, took, RunStatus::kCompleted);
+  const Seconds run_time = now - task.since;
+  if (!task.overrun_counted) RecordRunTime(machine, job, run_time, RunStatus::kCompleted);
   // Run times on slow machines and of attempts resumed from a checkpoint are not representative of
   // the machine type.
   if (!machine.cordoned && (task.attempt.value == 1 || job.spec.checkpoint_interval.value <= 0))
-    state_.run_times.Learn(machine, job, took);
+    state_.run_times.Learn(machine, job, run_time);
 }
 
-void SlowMachineDetector::RecordRunTime(Machine& machine, const Job& job, Seconds took,
+void SlowMachineDetector::RecordRunTime(Machine& machine, const Job& job, Seconds run_time,
                                         RunStatus status) {
   if (job.spec.estimate.value <= 0) return;
   const auto median_ratio = job.pace.MedianOnOtherMachines(PaceKeyOf(machine.id));
@@ -30,7 +30,7 @@
                               : state_.run_times.ExpectedOnType(job.spec, machine.type).value;
   const double limit =
       status == RunStatus::kCompleted ? kSlowFactorWhenCompleted : kSlowFactorWhileRunning;
-  const bool slow = took.value >= limit * expected;
+  const bool slow = run_time.value >= limit * expected;
   if (status == RunStatus::kStillRunning && !slow) return;
   if (!median_ratio)
     std::erase_if(machine.pace, [&](const auto& sample) { return sample.job == job.spec.id; });
@@ -47,7 +47,7 @@
   state_.machines.heartbeats().Watch(machine);
   state_.signals.MarkChanged();
   if (state_.decisions.enabled())
-    state_.decisions.Add("cordon reason=slow machine=" + machine.id.value);
+    state_.decisions.Add("cordon machine=" + machine.id.value + " reason=slow");
   state_.signals.RequestInspection();
   for (const HeldTask& held : machine.tasks) {
     const JobSpec& spec = held.job->spec;
@@ -87,7 +87,7 @@
     const OverdueTasks::Entry first = overdue.first();
     Job& job = *state_.jobs.FindBySerial(first.job_serial);
     OnRunning(job, first.index, now);
-    // The expected run time may have grown since the task was added.
+    // The expected run time may have increased since the task was added.
     if (job.tasks[first.index].overdue) OnStarted(job, first.index);
     if (!overdue.empty() && overdue.first().overdue_at == first.overdue_at) break;
   }
--- a/src/scheduling/slow_machine_detector.h
+++ b/src/scheduling/slow_machine_detector.h
@@ -1,11 +1,11 @@
 // Learns run times from completed tasks, and detects slow machines.
 //
 // A machine whose latest tasks all took far longer than expected is slow. It is cordoned, and its
-// array tasks with checkpoints are moved to other machines. A single long task proves nothing, and
+// array tasks with checkpoints are moved to other machines. A single long task is no evidence, and
 // several tasks of one job may be long because the job's estimate is too low. A task is therefore
 // compared with tasks of its job on other machines; while too few of these are known, only the
-// latest task of each job counts. Running tasks count as well; they are checked when they are
-// reported and when they are overdue.
+// latest task of each job counts. A running task counts once it has run too long; it is checked
+// when a worker reports it and when it becomes overdue.
 #pragma once
 
 #include <cstdint>
@@ -23,9 +23,9 @@
   SlowMachineDetector(ClusterState& state, TaskLifecycle& lifecycle)
       : state_(state), lifecycle_(lifecycle) {}
 
-  // Called when a task is seen to start running.
+  // Called when a worker reports for the first time that the task is running.
   void OnStarted(Job& job, std::uint32_t index);
-  // Called when a task is reported as still running.
+  // Called when a worker reports that the task is still running.
   void OnRunning(Job& job, std::uint32_t index, Instant now);
   // Called when a running task has completed on the machine.
   void OnCompleted(Machine& machine, Job& job, const Task& task, Instant now);
@@ -34,7 +34,7 @@
 
  private:
   enum class RunStatus { kCompleted, kStillRunning };
-  void RecordRunTime(Machine& machine, const Job& job, Seconds took, RunStatus status);
+  void RecordRunTime(Machine& machine, const Job& job, Seconds run_time, RunStatus status);
   void CordonSlowMachine(Machine& machine);
 
   ClusterState& state_;
--- a/src/scheduling/task_placer.cc
+++ b/src/scheduling/task_placer.cc
@@ -13,13 +13,13 @@
   Instant now;
   CandidateSelector selector;
   std::size_t waiting = 0;   // pending tasks with a reservation
-  bool within_quota = true;  // whether the next task is, with all reservations counted
+  bool within_quota = true;  // whether the next task is within it, with all reservations counted
 
   Job& job() const { return *queued.job; }
   const JobSpec& spec() const { return queued.job->spec; }
   bool is_service() const { return spec().kind == JobKind::kService; }
-  // The job may be faulty: it does not preempt, and does not provision while a machine suits its
-  // task.
+  // The job may be faulty: it preempts no tasks, and no machine is provisioned for it while an
+  // existing one suits its task.
   bool is_limited() const { return queued.max_tasks != FailureAttribution::kUnlimited; }
   void CountUsage() { round.usage[spec().team] += spec().per_task; }
   void CountNearTermUsage() { round.near_term_usage[spec().team] += spec().per_task; }
@@ -35,7 +35,7 @@
   std::uint32_t tasks_left = queued.max_tasks;
   while (job.pending.size() > placement.waiting && budget > 0 && tasks_left > 0) {
     placement.within_quota = state_.quotas.WithinQuota(job, round.usage, job.spec.per_task);
-    // Near-term usage is part of the total usage, so the first check mostly decides.
+    // Near-term usage is part of the total usage, so it is checked only if the total is too high.
     if (!placement.within_quota &&
         !state_.quotas.WithinQuota(job, round.near_term_usage, job.spec.per_task))
       return;
@@ -54,8 +54,8 @@
   }
   const auto selection = placement.selector.Select();
   const bool available_now = selection && selection->option.available_now;
-  // Beyond the quota that is left by all reservations, including those far in the future, nothing
-  // is reserved, provisioned or preempted.
+  // If the quota is exceeded with all reservations counted, including those far in the future, a
+  // task that cannot start now is not placed: nothing is reserved, provisioned or preempted for it.
   if (!placement.within_quota && !available_now) return Progress::kStop;
   const bool late = !IsInTime(queued.due.provisioning_target, selection);
   const bool may_provision = !placement.is_limited() || !selection;
@@ -86,7 +86,8 @@
     if (!queued.deferred) Preempt(placement);
     return Progress::kContinue;
   }
-  // A replica starts earlier on a machine that has its image than here after an image fetch.
+  // A replica starts earlier on a machine that has its image, once work is preempted there, than on
+  // the selected machine after an image fetch.
   const bool has_to_fetch = selection->option.wait.value > 0;
   return placement.is_service() && has_to_fetch && Preempt(placement) ? Progress::kStop
                                                                       : Progress::kContinue;
--- a/src/scheduling/task_placer.h
+++ b/src/scheduling/task_placer.h
@@ -39,7 +39,7 @@
   Progress PlaceNextTask(JobPlacement& placement);
   bool IsInTime(Seconds target, const std::optional<CandidateSelector::Selection>& selection) const;
   // Plans to provision a machine if the job's next task would end clearly earlier there than on the
-  // selected machine.
+  // selected machine, or if none is selected. Returns whether it did.
   bool ScaleOut(JobPlacement& placement,
                 const std::optional<CandidateSelector::Selection>& selection);
   // Preempts work for a task that would be late. Returns kStop if the task should wait for the
--- a/tests/failure_detection_test.cc
+++ b/tests/failure_detection_test.cc
@@ -64,7 +64,7 @@
   unresponsive_workers_.insert(worker.id());
   AdvanceTime(6);
   Settle(controller);
-  RunCloud(controller);  // the list is empty, but a missing machine proves nothing
+  RunCloud(controller);  // the list is empty, but a missing machine is not treated as failed
   AdvanceTime(7);
   Settle(controller, 1);
   AdvanceTime(2);  // the zone is no longer suspected, since the other machines send heartbeats
@@ -91,8 +91,8 @@
   for (const CloudCall& call : RunCloud(controller)) EXPECT_TRUE(call.release.empty());
 }
 
-// Guards against workers that stay with a relaying controller after a partition of two zones and
-// remain unreachable by direct commands of the leader.
+// Guards against workers that stay with a relaying controller after a partition between two zones
+// has ended, and remain unreachable by direct commands of the leader.
 TEST_F(FailureDetectionTest, RelayedWorkerIsRedirectedOnceReachable) {
   TestController& controller = AddController("n0");
   FakeWorker& worker = AddWorker("m-1");
--- a/tests/large_installation_test.cc
+++ b/tests/large_installation_test.cc
@@ -75,8 +75,8 @@
   int answered = 0;
   for (int i = 0; i < 60; ++i) {
     httplib::Client client("127.0.0.1", server.port());
-    const auto answer = client.Post("/checkin", "{}", "application/json");
-    answered += answer && answer->status == 200 ? 1 : 0;
+    const auto response = client.Post("/checkin", "{}", "application/json");
+    answered += response && response->status == 200 ? 1 : 0;
   }
   EXPECT_EQ(answered, 60);
   server.Shutdown();
--- a/tests/planner_test.cc
+++ b/tests/planner_test.cc
@@ -37,7 +37,7 @@
   return spec;
 }
 
-// Machines that are up, and running tasks bound to them.
+// Sets up a cluster state with machines that are up and with running tasks bound to them.
 class PlannerTest : public ::testing::Test {
  protected:
   PlannerTest() : state(PlannerOptions(), {}), lifecycle(state) {
@@ -63,7 +63,7 @@
     return job;
   }
 
-  // Binds the job's next task to the machine, running since `since`.
+  // Binds the job's next task to the machine and marks it as running since `since`.
   void Run(Job& job, Machine& machine, Instant since) {
     const std::uint32_t index = job.pending.front();
     job.pending.pop_front();
--- a/tests/planning_cost_test.cc
+++ b/tests/planning_cost_test.cc
@@ -13,7 +13,7 @@
 class PlanningCostTest : public ClusterTest {};
 
 // Guards against evaluating every machine for each waiting task or job. With thousands of both the
-// leader never caught up, and replacing a tenth of 32,000 machines took 3 s.
+// leader could not keep up, and replacing a tenth of 32,000 machines took 3 s.
 TEST_F(PlanningCostTest, TickEvaluatesEachMachineOnceForIdenticalJobs) {
   constexpr std::uint32_t kMachines = 2000;
   constexpr std::uint32_t kTasks = 3000;
@@ -106,7 +106,7 @@
 }
 
 // Guards against inspecting all machines in each tick: four times a second for missing heartbeats
-// and once for machines to release. With 32,000 unchanged machines a tick took 17 ms.
+// and once a second for machines to release. With 32,000 unchanged machines a tick took 17 ms.
 TEST_F(PlanningCostTest, IdleTickInspectsNoMachine) {
   constexpr std::uint32_t kMachines = 400;
   constexpr std::uint32_t kTicks = 12;  // of 0.25 s: one heartbeat interval
@@ -171,7 +171,7 @@
 }
 
 // Between two full rounds, a tick stops planning once no more tasks can start now. Otherwise, with
-// all machines full, each reported end of a task would cost planning all waiting jobs.
+// all machines full, all waiting jobs would be planned after each reported end of a task.
 TEST_F(PlanningCostTest, FullClusterGetsOneFullRoundPerSecond) {
   constexpr int kMachines = 20;
   constexpr int kWaitingJobs = 50;
--- a/tests/reachability_test.cc
+++ b/tests/reachability_test.cc
@@ -1,4 +1,4 @@
-// Distinguishes partitioned, relayed and failed machines, zones and controllers.
+// Distinction of partitioned, relayed and failed machines, zones and controllers.
 #include <gtest/gtest.h>
 
 #include "controller/leader_reachability.h"
@@ -8,7 +8,7 @@
 namespace magpie::testing {
 namespace {
 
-// Fails all probes to be sent now; returns their number.
+// Reports all probes that are to be sent now as not sent; returns their number.
 int FailProbes(TestController& controller, Instant now) {
   int failed = 0;
   for (; auto probe = controller.core.NextProbe(now); ++failed)
@@ -17,7 +17,7 @@
 }
 
 // Guards against redirecting workers back and forth until their leases expire, when two zones are
-// partitioned from each other and the leader changes. Found in a run with randomly drawn faults.
+// partitioned from each other and the leader changes. Found in a run with random faults.
 TEST(RedirectTrackerTest, WorkerReturningFromLeaderCannotReachIt) {
   RedirectTracker redirects(Seconds{45});
   const MachineId machine{"m-1"};
@@ -26,7 +26,7 @@
       << "too early to have tried the leader";
   EXPECT_TRUE(redirects.ReturnedFromLeader(machine, Instant{109}));
   EXPECT_FALSE(redirects.ReturnedFromLeader(machine, Instant{300}))
-      << "an old redirect proves nothing";
+      << "the worker may have reached the leader since then";
   redirects.OnLeaderChanged();
   EXPECT_FALSE(redirects.ReturnedFromLeader(machine, Instant{306}));
 }
@@ -34,34 +34,34 @@
 // Guards against workers' leases expiring in a zone that is partitioned from all others, although
 // the zone has a controller.
 TEST(LeaderReachabilityTest, PartitionedControllerRenewsWorkerLeases) {
-  LeaderReachability reach(Seconds{4});
+  LeaderReachability reachability(Seconds{4});
   const Revision epoch{7};
-  EXPECT_FALSE(reach.MayRenewLease(FirstFencingToken(epoch), epoch, true, Instant{100}))
+  EXPECT_FALSE(reachability.MayRenewLease(FirstFencingToken(epoch), epoch, true, Instant{100}))
       << "the leader has not been contacted yet";
-  reach.OnFailure(Instant{100}, false);
-  EXPECT_FALSE(reach.MayRelay(Instant{101}));
-  EXPECT_TRUE(reach.MayRenewLease(FirstFencingToken(epoch), epoch, true, Instant{100}));
-  EXPECT_FALSE(reach.MayRenewLease(FirstFencingToken(epoch), epoch, false, Instant{105}))
+  reachability.OnFailure(Instant{100}, false);
+  EXPECT_FALSE(reachability.MayRelay(Instant{101}));
+  EXPECT_TRUE(reachability.MayRenewLease(FirstFencingToken(epoch), epoch, true, Instant{100}));
+  EXPECT_FALSE(reachability.MayRenewLease(FirstFencingToken(epoch), epoch, false, Instant{105}))
       << "another controller may become leader shortly";
-  EXPECT_TRUE(reach.MayRenewLease(FirstFencingToken(epoch), epoch, false, Instant{107}));
-  EXPECT_FALSE(reach.MayRenewLease(FirstFencingToken({8}), epoch, true, Instant{107}))
+  EXPECT_TRUE(reachability.MayRenewLease(FirstFencingToken(epoch), epoch, false, Instant{107}));
+  EXPECT_FALSE(reachability.MayRenewLease(FirstFencingToken({8}), epoch, true, Instant{107}))
       << "the worker has seen the token of a later leader";
-  EXPECT_TRUE(reach.MayRelay(Instant{103}));
-  reach.OnAnswer();
-  EXPECT_FALSE(reach.MayRenewLease(FirstFencingToken(epoch), epoch, true, Instant{107}));
-  reach.OnFailure(Instant{108}, true);
-  EXPECT_TRUE(reach.MayRenewLease(FirstFencingToken(epoch), epoch, false, Instant{108}))
+  EXPECT_TRUE(reachability.MayRelay(Instant{103}));
+  reachability.OnAnswer();
+  EXPECT_FALSE(reachability.MayRenewLease(FirstFencingToken(epoch), epoch, true, Instant{107}));
+  reachability.OnFailure(Instant{108}, true);
+  EXPECT_TRUE(reachability.MayRenewLease(FirstFencingToken(epoch), epoch, false, Instant{108}))
       << "the request to the leader timed out";
-  reach.OnDeclined(Instant{110});
-  reach.OnFailure(Instant{112}, false);
-  EXPECT_FALSE(reach.MayRenewLease(FirstFencingToken(epoch), epoch, false, Instant{112}))
+  reachability.OnDeclined(Instant{110});
+  reachability.OnFailure(Instant{112}, false);
+  EXPECT_FALSE(reachability.MayRenewLease(FirstFencingToken(epoch), epoch, false, Instant{112}))
       << "the leader declined, and its term may have ended";
 }
 
 class ReachabilityTest : public ClusterTest {};
 
 // Guards against a leader that resigns while its lease is still valid: a burst of submissions made
-// the key-value store refuse renewals.
+// the key-value store refuse renewals of the lease.
 TEST_F(ReachabilityTest, RefusedRenewalDoesNotEndLeadership) {
   TestController& controller = AddController("n0");
   ASSERT_TRUE(controller.TakeOver(now));
@@ -88,7 +88,7 @@
   failed_worker.EndAll(ExitReason::kError);
   Heartbeat(controller, failed_worker);
   controller.core.Tick(now, wall);
-  EXPECT_TRUE(ReleasedMachines(RunCloud(controller)).empty()) << "the job may be at fault";
+  EXPECT_TRUE(ReleasedMachines(RunCloud(controller)).empty()) << "the job may be the cause";
   AdvanceTime(3);  // until the machine is no longer suspected
   Settle(controller);
   Run(controller, MakeJob("j-2", 3));
@@ -128,7 +128,7 @@
     controller.core.Tick(now, wall);
   }
   EXPECT_TRUE(ReleasedMachines(RunCloud(controller)).empty())
-      << "no heartbeats from the whole zone mean a partition";
+      << "a zone without any heartbeats counts as partitioned";
 }
 
 // Guards against a single relayed worker preventing the release of failed machines in its zone.
@@ -187,11 +187,12 @@
   for (int i = 0; i < kMachines; ++i) AddWorker("m-" + std::to_string(i));
   ASSERT_TRUE(controller.TakeOver(now));
   int heartbeats_sent = 0;
-  for (FakeWorker& worker : workers_) {  // half a second apart
+  for (FakeWorker& worker : workers_) {  // two every half second
     Heartbeat(controller, worker);
     AdvanceTime(++heartbeats_sent % 2 == 0 ? 0.5 : 0);
   }
-  // All machines hang. The first ones are late at 13.3 s, the last one 7 s later.
+  // All machines hang. The first two are late 13.3 s after their heartbeats, the last two 7 s
+  // later.
   AdvanceTime(6.8);
   int probed = 0;
   for (int step = 0; step < 8; ++step) {
--- a/tests/team_guarantee_test.cc
+++ b/tests/team_guarantee_test.cc
@@ -39,7 +39,7 @@
       << "the team without a guarantee may wait for the image";
 }
 
-// Guards against a large array that exceeds its team's guarantee being placed before jobs that lie
+// Guards against placing a large array that exceeds its team's guarantee before jobs that lie
 // within theirs: all its tasks counted as guaranteed while the team used little.
 TEST_F(TeamGuaranteeTest, JobsEntirelyWithinGuaranteePrecedeOthers) {
   Scheduler::Options options = DefaultOptions();
@@ -62,8 +62,8 @@
   EXPECT_TRUE(small.HasLiveTask(TaskOf("j-2", 1)));
 }
 
-// A team's guarantee covers its earlier jobs, in whatever order they are loaded. A new leader must
-// not give the guarantee to a later job.
+// A team's guarantee covers its earlier jobs, regardless of the order in which they are loaded. A
+// new leader must not give the guarantee to a later job.
 TEST_F(TeamGuaranteeTest, EarlierJobsClaimGuaranteeAfterTakeover) {
   Scheduler::Options options = DefaultOptions();
   options.teams = {{"blue", 4, 0, 0, 0}, {"green", 0, 0, 0, 0}};
@@ -131,7 +131,8 @@
 }
 
 // Guards against provisioning a machine for a guarantee that no booting machine can meet. On the
-// first mechelen site a 64-CPU machine was rented so that guaranteed work might start within 5 s.
+// first mechelen site a 64-CPU machine was provisioned so that guaranteed work could start within 5
+// s.
 TEST_F(TeamGuaranteeTest, NoMachineIsProvisionedForGuaranteeShorterThanBootTime) {
   Scheduler::Options options = DefaultOptions();
   options.objectives = {{"guarantee", "", {5}, 0.9, 1}, {"wait", "sums", {250}, 0.9, 1}};
