--- a/src/scheduling/candidate_selector.cc
+++ b/src/scheduling/candidate_selector.cc
@@ -93,8 +93,8 @@
           available_now,  candidate.wait,    state_.run_times.ExpectedOnKind(job_, kind.kind)};
 }
 
-// After the kinds were checked, the job may have got its last allowed task in the zone; the zone is
-// then excluded for the rest of the round.
+// Tasks placed after the kinds were checked may have used up the job's share of the zone; the zone
+// then stays excluded for the rest of the round.
 bool CandidateSelector::IsZoneStillAllowed(const AllowedKind& kind) const {
   return IsZoneAllowed(job_, state_.kinds.all()[kind.kind].kind.zone);
 }
--- a/src/scheduling/consolidator.h
+++ b/src/scheduling/consolidator.h
@@ -47,7 +47,7 @@
   struct Destination {
     const PlannedMachine* planned = nullptr;
     Resources taken;    // by all moves, including this one
-    bool idle = false;  // would otherwise be released
+    bool idle = false;  // without tasks or earlier moves; would otherwise be released
   };
 
   Candidates FindCandidates(const PlacementPlan& plan) const;
--- a/src/scheduling/due_times.h
+++ b/src/scheduling/due_times.h
@@ -1,5 +1,4 @@
-// Computes the targets of jobs from their deadlines and the service-level objectives of their
-// class.
+// Computes the targets of jobs from their deadlines and the objectives of their class.
 #pragma once
 
 #include <vector>
--- a/src/scheduling/failure_detector.cc
+++ b/src/scheduling/failure_detector.cc
@@ -5,8 +5,8 @@
 
 namespace magpie {
 namespace {
-// Minimum number of missed heartbeat intervals before a machine outside suspected zones is
-// released.
+// Minimum timeout of a machine outside suspected zones, in heartbeat intervals. If the machine does
+// not answer probes, kUnansweredProbesTimeout applies instead.
 constexpr double kMinMissedIntervals = 2.5;
 // Timeout of a machine that sends no heartbeats and does not answer probes.
 constexpr Seconds kUnansweredProbesTimeout{4};
@@ -132,8 +132,8 @@
   return gap;
 }
 
-// Whether the machine must be released so that its tasks can be placed again. A release is a safe
-// fence: once the cloud has confirmed it, no task runs or can start on the machine.
+// Whether the machine counts as lost. It is then released, which is a safe fence: once the cloud
+// has confirmed the release, no task runs or can start on the machine.
 bool FailureDetector::IsLost(const Machine& machine, const HeartbeatGap& gap, Instant now) const {
   const SchedulerOptions& options = state_.options;
   if (HasOverdueCancelledTask(machine, now) && gap.length > 2.0 * options.heartbeat_interval)
--- a/src/scheduling/headroom_planner.h
+++ b/src/scheduling/headroom_planner.h
@@ -18,9 +18,9 @@
 
 // Policy: for each recent service image, capacity is reserved for SchedulerOptions::headroom
 // replicas, if possible on machines that have the image. For each task shape, the total reservation
-// is `headroom` times the replicas of the largest recent service, or `headroom` times the replicas
-// that arrive while a machine boots, whichever is more. Idle spot machines are kept while arrays of
-// a recent class may soon use them.
+// is at least `headroom` times the replicas of the largest recent service, or `headroom` times the
+// replicas that arrive while a machine boots, whichever is more. Idle spot machines are kept while
+// arrays of a recent class may soon use them.
 class HeadroomPlanner {
  public:
   // `state` must outlive this object.
@@ -40,13 +40,13 @@
   struct RecentClass {
     JobSpec spec;
     std::uint32_t image = 0;
-    double arrived_tasks = 0;  // decaying count, as of `at`
+    double arrived_tasks = 0;  // count that decays with time, as of `at`
     Instant at;
   };
   // Expected demand of recent services of one shape.
   struct ShapeDemand {
     const JobSpec* spec = nullptr;  // of one of these services
-    double arrived_tasks = 0;       // decaying count
+    double arrived_tasks = 0;       // count that decays with time
     std::uint32_t largest = 0;      // tasks of the largest service that arrived recently
     std::uint32_t reserved = 0;     // replicas that already have a reservation
     std::vector<std::uint32_t> images;
@@ -55,7 +55,7 @@
   struct Preference {
     bool unavailable_now = false;
     std::size_t missing_images = 0;
-    bool unneeded = false;  // could otherwise be released
+    bool unneeded = false;  // could be released without a reservation
     double price = 0;
     auto operator<=>(const Preference&) const = default;
   };
--- a/src/scheduling/job_ordering.cc
+++ b/src/scheduling/job_ordering.cc
@@ -10,10 +10,9 @@
 namespace {
 
 constexpr double kFloorFraction = 0.25;  // of the capacity available to arrays
-// Arrays do not preempt arrays of lower priority while the latter hold at most this multiple of the
-// floor.
+// Arrays do not preempt lower-priority arrays while these hold at most this multiple of the floor.
 constexpr double kMinFloorsForPreemption = 2;
-constexpr JobRank kRankAfterGuaranteed{0, 1};  // behind all jobs of the first tier
+constexpr JobRank kRankAfterGuaranteed{0, 1};  // behind all jobs of tier 0 of JobRank
 
 void SortByRank(std::vector<QueuedJob>& jobs) {
   std::sort(jobs.begin(), jobs.end(), [](const QueuedJob& a, const QueuedJob& b) {
@@ -81,8 +80,8 @@
     while (end < jobs.size() && jobs[end].rank == jobs[begin].rank) ++end;
     const std::span<QueuedJob> same_rank(jobs.data() + begin, end - begin);
     const Priority priority = same_rank.front().job->spec.priority;
-    // Jobs of lower priority than a deferred job get only the floor, where no other work precedes
-    // them.
+    // Jobs of lower priority than a deferred job get only the floor, and no work precedes them
+    // there.
     const bool has_floor_only = lowest_deferred && priority < *lowest_deferred;
     const Seconds work =
         has_floor_only ? DeferLateJobsOfRank(same_rank, Seconds{}, kFloorFraction)
@@ -170,15 +169,15 @@
   return cpus;
 }
 
-// Moves less urgent jobs that can be in time forward, up to the floor, directly behind the jobs
-// of the first tier (JobRank::tier).
+// Moves less urgent jobs that can be in time forward, up to the floor, directly behind the jobs of
+// tier 0 (JobRank::tier).
 void JobOrdering::ReserveFloor(OrderedJobs& ordered) const {
   const double floor = kFloorFraction * capacity_.array_cpus;
   for (const Priority overloaded : {Priority::kNormal, Priority::kHigh, Priority::kProduction}) {
     if (!HasDeferredJob(ordered.jobs, overloaded)) continue;
     double floor_cpus_used = ArrayCpusBelow(overloaded);
-    // Jobs of the overloaded priority are now ranked behind the floor. Their arrays may preempt
-    // less urgent work only if it holds far more than the floor.
+    // Jobs of the overloaded priority are then ranked behind the moved jobs. Their arrays may
+    // preempt lower-priority arrays only while these hold far more capacity than the floor.
     if (floor_cpus_used <= kMinFloorsForPreemption * floor)
       ordered.max_non_preempting_priority = overloaded;
     for (QueuedJob& queued : ordered.jobs) {
--- a/src/scheduling/placement.h
+++ b/src/scheduling/placement.h
@@ -27,8 +27,7 @@
   Seconds run_time;           // predicted, on this type of machine
 };
 
-// Equation 2 of the paper: target - alpha * wait - beta * run time. Negative if the task would be
-// late.
+// Equation 2 of the paper: target - alpha * wait - beta * run time. Negative for a late task.
 Seconds Slack(Seconds target, const PlacementOption& option, const PlacementWeights& weights);
 
 // Algorithm 2 of the paper, applied to a list. Returns the position of the smallest machine among
--- a/src/scheduling/resource_timeline.h
+++ b/src/scheduling/resource_timeline.h
@@ -23,8 +23,7 @@
   void AddRelease(Instant at, const Resources& released);
   // When a task with this demand could start; nullopt if the known releases do not free enough.
   std::optional<Instant> EarliestFit(const Resources& demand) const;
-  // Reserves `demand` from `start`, the result of EarliestFit(), until `end`, or forever without an
-  // `end`.
+  // Reserves `demand` from `start`, the result of EarliestFit(), until `end` (nullopt: forever).
   void Reserve(Instant start, const Resources& demand, std::optional<Instant> end);
   // Resources that are neither in use nor reserved.
   const Resources& free() const { return free_; }
--- a/src/scheduling/task_placer.cc
+++ b/src/scheduling/task_placer.cc
@@ -13,7 +13,7 @@
   Instant now;
   CandidateSelector selector;
   std::size_t waiting = 0;   // pending tasks with a reservation
-  bool within_quota = true;  // whether the next task is within it, with all reservations counted
+  bool within_quota = true;  // the next task is within the quota with all reservations counted
 
   Job& job() const { return *queued.job; }
   const JobSpec& spec() const { return queued.job->spec; }
--- a/tests/planning_cost_test.cc
+++ b/tests/planning_cost_test.cc
@@ -109,7 +109,7 @@
 // and once a second for machines to release. With 32,000 unchanged machines a tick took 17 ms.
 TEST_F(PlanningCostTest, IdleTickInspectsNoMachine) {
   constexpr std::uint32_t kMachines = 400;
-  constexpr std::uint32_t kTicks = 12;  // of 0.25 s: one heartbeat interval
+  constexpr std::uint32_t kTicks = 12;  // ticks of 0.25 s in one heartbeat interval
   TestController& controller = AddController("n0");
   for (std::uint32_t i = 0; i < kMachines; ++i) AddWorker("m-" + std::to_string(i));
   ASSERT_TRUE(controller.TakeOver(now));
--- a/tests/reachability_test.cc
+++ b/tests/reachability_test.cc
@@ -191,8 +191,7 @@
     Heartbeat(controller, worker);
     AdvanceTime(++heartbeats_sent % 2 == 0 ? 0.5 : 0);
   }
-  // All machines hang. The first two are late 13.3 s after their heartbeats, the last two 7 s
-  // later.
+  // All machines hang. The first two are late at 13.3 s, the last two 7 s later.
   AdvanceTime(6.8);
   int probed = 0;
   for (int step = 0; step < 8; ++step) {
--- a/tests/team_guarantee_test.cc
+++ b/tests/team_guarantee_test.cc
@@ -131,8 +131,7 @@
 }
 
 // Guards against provisioning a machine for a guarantee that no booting machine can meet. On the
-// first mechelen site a 64-CPU machine was provisioned so that guaranteed work could start within 5
-// s.
+// first mechelen site a 64-CPU machine was provisioned so that guaranteed work could start in 5 s.
 TEST_F(TeamGuaranteeTest, NoMachineIsProvisionedForGuaranteeShorterThanBootTime) {
   Scheduler::Options options = DefaultOptions();
   options.objectives = {{"guarantee", "", {5}, 0.9, 1}, {"wait", "sums", {250}, 0.9, 1}};
