--- a/src/scheduling/failure_detector.h
+++ b/src/scheduling/failure_detector.h
@@ -28,7 +28,7 @@
       : state_(state), lifecycle_(lifecycle), cloud_(cloud), alarm_(alarm) {}
 
   void Clear() { zone_suspected_until_.clear(); }
-  // Inspects the watched machines and those whose heartbeats have been missing for too long.
+  // Inspects the watched machines and the machines that have sent no heartbeat for too long.
   void InspectMachines(Instant now);
 
  private:
--- a/src/scheduling/queued_job.h
+++ b/src/scheduling/queued_job.h
@@ -24,8 +24,8 @@
 
 // The order of jobs before their targets are compared: lower ranks are planned first.
 struct JobRank {
-  // 0: production jobs and jobs that lie entirely within their team's guarantee; 1: jobs whose next
-  // task is within the guarantee; 2: all others.
+  // 0: production jobs and jobs that lie entirely within their team's guarantee; 1: other jobs with
+  // their next task within the guarantee; 2: all others.
   int tier = 0;
   int within_tier = 0;  // negated priority
   auto operator<=>(const JobRank&) const = default;
--- a/src/scheduling/slow_machine_detector.h
+++ b/src/scheduling/slow_machine_detector.h
@@ -1,6 +1,6 @@
 // Learns run times from completed tasks, and detects slow machines.
 //
-// A machine whose latest tasks all took far longer than expected is slow. It is cordoned, and its
+// A machine is slow if its latest tasks all took far longer than expected. It is cordoned, and its
 // array tasks with checkpoints are moved to other machines. A single long task is no evidence, and
 // several tasks of one job may be long because the job's estimate is too low. A task is therefore
 // compared with tasks of its job on other machines; while too few of these are known, only the
