--- a/src/scheduling/headroom_planner.h
+++ b/src/scheduling/headroom_planner.h
@@ -16,10 +16,11 @@
 
 namespace magpie {
 
-// Policy: capacity is reserved for one replica of each recent service image, on a machine that has
-// the image if possible, and for each task shape for as many replicas as the largest recent service
-// has or as arrive while a machine boots. Idle spot machines are kept while arrays of a recent
-// class may soon use them.
+// Policy: for each recent service image, capacity is reserved for SchedulerOptions::headroom
+// replicas, if possible on machines that have the image. For each task shape, the total reservation
+// is at least `headroom` times the replicas of the largest recent service, or `headroom` times the
+// replicas that arrive while a machine boots, whichever is more. Idle spot machines are kept while
+// arrays of a recent class may soon use them.
 class HeadroomPlanner {
  public:
   // `state` must outlive this object.
@@ -30,7 +31,8 @@
   void RecordArrival(const Job& job, std::uint32_t tasks, Instant now);
   // Reserves capacity for upcoming services, and provisions machines if there is too little.
   void ReserveForServices(PlanningRound& round, Instant now);
-  // Reserves the idle spot machines that arrays of recent classes may soon use.
+  // Reserves capacity on spot machines for the arrays of recent classes, so that idle spot machines
+  // that such arrays may soon use are kept.
   void ReserveSpotMachines(PlanningRound& round, Instant now) const;
 
  private:
@@ -38,13 +40,13 @@
   struct RecentClass {
     JobSpec spec;
     std::uint32_t image = 0;
-    double arrived_tasks = 0;  // decaying count, as of `at`
+    double arrived_tasks = 0;  // count that decays with time, as of `at`
     Instant at;
   };
   // Expected demand of recent services of one shape.
   struct ShapeDemand {
     const JobSpec* spec = nullptr;  // of one of these services
-    double arrived_tasks = 0;       // decaying count
+    double arrived_tasks = 0;       // count that decays with time
     std::uint32_t largest = 0;      // tasks of the largest service that arrived recently
     std::uint32_t reserved = 0;     // replicas that already have a reservation
     std::vector<std::uint32_t> images;
@@ -53,7 +55,7 @@
   struct Preference {
     bool unavailable_now = false;
     std::size_t missing_images = 0;
-    bool unneeded = false;  // could otherwise be released
+    bool unneeded = false;  // could be released without a reservation
     double price = 0;
     auto operator<=>(const Preference&) const = default;
   };
