--- a/src/controller/cloud_loop.cc
+++ b/src/controller/cloud_loop.cc
@@ -81,7 +81,7 @@
         break;
       case CloudStatus::kRefused:
       case CloudStatus::kUnknown:
-        state_.scheduler().OnProvisioningUnknown(call);
+        state_.scheduler().OnProvisioningUnconfirmed(call);
         break;
     }
   }
--- a/src/scheduling/cloud_coordinator.cc
+++ b/src/scheduling/cloud_coordinator.cc
@@ -91,7 +91,7 @@
   state_.signals.MarkChanged();
 }
 
-void CloudCoordinator::OnProvisioningUnknown(const CloudCall& call) {
+void CloudCoordinator::OnProvisioningUnconfirmed(const CloudCall& call) {
   if (!IsFromThisTerm(call)) return;
   scale_outs_.push_back(call);  // the retry has the same name, so it provisions no further machines
 }
@@ -108,7 +108,7 @@
 
 // Called once the cloud has confirmed the release: no task runs or can start on the machine.
 void CloudCoordinator::RemoveMachine(const MachineId& id, Instant now) {
-  state_.machines.RememberReleased(id);
+  state_.machines.RecordReleased(id);
   state_.failure_attribution.Forget(id);
   Machine* machine = state_.machines.Find(id);
   if (machine == nullptr) return;
--- a/src/scheduling/cluster_capacity.h
+++ b/src/scheduling/cluster_capacity.h
@@ -1,4 +1,4 @@
-// The capacity that machines offer to array jobs, as of the last planning round.
+// The capacity of the machines that array jobs can use, as measured in the last planning round.
 #pragma once
 
 #include <array>
@@ -13,15 +13,18 @@
 // The total capacity of the machines of one kind.
 struct KindCapacity {
   int machines = 0;
-  Resources without_services;  // not used by services, on machines of the plan
+  // Capacity not used by services, on those of the machines on which the plan may place tasks.
+  Resources without_services;
 };
 
 // Measured while the plan of a round is built; used to order jobs in the next round.
 struct ClusterCapacity {
   std::vector<KindCapacity> by_kind;  // indexed by kind number; empty before the first round
-  // By priority: the time in which all array capacity would complete the running array tasks.
+  // By priority: the time in which the running array tasks would complete if they used all of
+  // array_cpus.
   std::array<Seconds, kPriorityCount> remaining_run_time{};
-  double array_cpus = 0;  // CPUs not used by services
+  // CPUs not used by services, on the machines on which the plan may place tasks.
+  double array_cpus = 0;
 };
 
 }  // namespace magpie
--- a/src/scheduling/cluster_state.cc
+++ b/src/scheduling/cluster_state.cc
@@ -2,7 +2,7 @@
 
 namespace magpie {
 namespace {
-// Above 1.25, since workers vary the time between heartbeats by a quarter of the interval.
+// Above 1.25, since workers vary the time between heartbeats by up to a quarter of the interval.
 constexpr double kLateHeartbeatIntervals = 1.3;
 constexpr Seconds kLateHeartbeatMargin{1};
 
--- a/src/scheduling/cluster_state.h
+++ b/src/scheduling/cluster_state.h
@@ -1,7 +1,8 @@
 // The state shared by the components of a scheduler: tables, and signals between components.
 //
-// Each table keeps its own invariant and does not depend on the others. Components hold a reference
-// to this object; it does not depend on them.
+// Each table keeps its own invariant. The tables do not refer to each other, except that
+// RunTimeEstimator reads MachineKinds, and both read the autoscaler's machine types. Components
+// hold a reference to this object; it does not depend on them.
 #pragma once
 
 #include <array>
@@ -36,13 +37,13 @@
 
 // The current term of leadership.
 struct LeaderTerm {
-  FencingToken token;   // 0: this controller is not the leader
+  FencingToken token;   // the first token of the term; 0: this controller is not the leader
   bool loaded = false;  // all durable records have been read
   Instant loaded_at;
-  bool may_start = true;  // see Scheduler::AllowTaskStarts
+  bool may_start = true;  // whether tasks may be started: see Scheduler::AllowTaskStarts
 };
 
-// What components request of the next ticks.
+// What components request from the next ticks.
 struct TickSignals {
   // Requests a tick before the next regular one.
   void RequestTick() { tick_requested = true; }
@@ -51,7 +52,7 @@
     tick_requested = true;
     next_inspection = {};
   }
-  // Records that a full plan may differ from the last one.
+  // Records that a new full plan may differ from the last one.
   void MarkChanged() { changed_since_plan = true; }
 
   bool tick_requested = false;
@@ -70,11 +71,11 @@
 // Progress of the comparison of durable records with heartbeats after a takeover.
 struct Reconciliation {
   std::size_t machines = 0;      // machines with bound tasks in the records at the takeover
-  std::size_t unreconciled = 0;  // of these, without a heartbeat or a removal since
+  std::size_t unreconciled = 0;  // of these, not removed and without a heartbeat since then
 };
 
-// Texts of scheduling decisions, kept if enabled by the options and written to the controller's
-// log.
+// Texts of scheduling decisions for the controller's log. They are recorded only if the options
+// enable it.
 class DecisionLog {
  public:
   explicit DecisionLog(bool enabled) : enabled_(enabled) {}
@@ -83,7 +84,8 @@
   void Add(std::string text) {
     if (enabled_) decisions_.push_back(std::move(text));
   }
-  std::vector<std::string> Take() { return std::exchange(decisions_, {}); }
+  // Returns the texts added since the last call.
+  std::vector<std::string> TakeAll() { return std::exchange(decisions_, {}); }
 
  private:
   bool enabled_;
@@ -97,9 +99,10 @@
   ClusterState(const ClusterState&) = delete;
   ClusterState& operator=(const ClusterState&) = delete;
 
-  // Clears everything except learned run times, boot times, machine kinds and refused scale-outs.
+  // Clears everything except learned run times, boot times, machine kinds, machine types, refused
+  // scale-outs, decisions that are not logged yet and term.may_start.
   void Clear();
-  // Adds the machine if it is not in the table; its first token is the term's.
+  // Returns the machine. If it is not in the table, adds it with the term's first token.
   Machine& FindOrCreateMachine(const MachineId& id, Instant now);
   // Removes the job from all tables. None of its tasks may be assigned to a machine.
   void RemoveJob(Job& job);
--- a/src/scheduling/command_builder.cc
+++ b/src/scheduling/command_builder.cc
@@ -22,10 +22,11 @@
   return commands;
 }
 
-// Adds stop commands for attempts that must not run there and forget commands for ended ones.
+// Adds stop commands for attempts that must not run on the machine, and forget commands for ended
+// attempts.
 void CommandBuilder::AddCommandsForReported(const Machine& machine,
                                             std::vector<Command>& commands) const {
-  for (const TaskStatus& status : machine.last) {
+  for (const TaskStatus& status : machine.reported_statuses) {
     if (IsFull(commands)) break;
     const Job* job = state_.jobs.FindFrom(machine, status.task.job);
     const Task* task = job == nullptr || status.task.index >= job->tasks.size()
@@ -35,7 +36,7 @@
                            task->attempt == status.attempt && task->state != TaskPhase::kPending &&
                            task->state != TaskPhase::kDone;
     if (status.state == TaskState::kEnded) {
-      if (!held_here && (ProvesAbsence(machine, MessageSource::kDirectCommandAnswer) ||
+      if (!held_here && (ProvesAbsence(machine, MessageSource::kDirectCommandResponse) ||
                          IsDisabled(SafetyCheck::kForgetOnlyIfProven)))
         commands.push_back({CommandKind::kForget, status.task, status.attempt, {}});
     } else if (!held_here || job->cancelled) {
--- a/src/scheduling/command_dispatcher.cc
+++ b/src/scheduling/command_dispatcher.cc
@@ -42,20 +42,20 @@
 }
 
 void CommandDispatcher::OnResult(const DirectCommand& direct_command, DeliveryStatus status,
-                                 const std::optional<Heartbeat>& answer, Instant now) {
+                                 const std::optional<Heartbeat>& response, Instant now) {
   Machine* found = state_.machines.Find(direct_command.machine);
   if (!state_.term.loaded || EpochOf(direct_command.token) != EpochOf(state_.term.token) ||
       found == nullptr)
     return;
   Machine& machine = *found;
   machine.command_in_flight = false;
-  // Requested once per deferral: a worker that refuses commands would otherwise get them in an
-  // endless loop without a pause.
+  // The commands are requested once for each deferral: otherwise a worker that refuses commands
+  // would be sent them in an endless loop without a pause.
   if (std::exchange(machine.command_deferred, false)) state_.commands.Request(machine);
   state_.machines.heartbeats().Watch(machine);
   machine.directly_reachable = status == DeliveryStatus::kAnswered;
   if (direct_command.commands.empty() && status != DeliveryStatus::kAnswered) {
-    OnProbeFailed(machine, now);  // a late probe has no effect, so the token is not raised
+    OnProbeFailed(machine, now);  // a late probe executes nothing, so the token is not raised
     return;
   }
   switch (status) {
@@ -70,13 +70,16 @@
       machine.next_command_at = now + kCommandRetryDelay;
       break;
     case DeliveryStatus::kAnswered:
-      if (answer && answer->machine == machine.id) OnAnswer(machine, direct_command, *answer, now);
+      if (response && response->machine == machine.id)
+        OnResponse(machine, direct_command, *response, now);
       break;
   }
 }
 
 void CommandDispatcher::OnProbeFailed(Machine& machine, Instant now) {
-  constexpr Seconds kMaxHeartbeatAge{4};  // without an answer to a probe, before it is suspected
+  // A machine that does not respond to a probe is suspected if its last heartbeat is older than
+  // this, or than the heartbeat interval if that is shorter.
+  constexpr Seconds kMaxHeartbeatAge{4};
   if (machine.failed_probes++ == 0) {
     machine.failing_since = now;
     const bool was_in_use = machine.up || !machine.tasks.empty();
@@ -89,16 +92,16 @@
   state_.signals.RequestInspection();
 }
 
-void CommandDispatcher::OnAnswer(Machine& machine, const DirectCommand& direct_command,
-                                 const Heartbeat& answer, Instant now) {
-  // This leader must never adopt a later leader's token: with it, workers would obey commands based
-  // on the outdated state of a deposed leader.
-  if (EpochOf(answer.token) > EpochOf(state_.term.token) &&
+void CommandDispatcher::OnResponse(Machine& machine, const DirectCommand& direct_command,
+                                   const Heartbeat& response, Instant now) {
+  // This leader must never adopt a later leader's token: workers would then execute commands that
+  // are based on the outdated state of a deposed leader.
+  if (EpochOf(response.token) > EpochOf(state_.term.token) &&
       !IsDisabled(SafetyCheck::kLaterEpochCommand))
     return;
-  heartbeats_.OnDirectCommandAnswer(machine, direct_command, answer, now);
-  // The worker refused the probe because of an outdated agent epoch; the answer has the current
-  // one.
+  heartbeats_.OnDirectCommandResponse(machine, direct_command, response, now);
+  // The worker refused the probe because the agent epoch in it was outdated. The response has the
+  // current agent epoch, so the next probe can be accepted.
   if (direct_command.commands.empty() && machine.seen_token < machine.token)
     probes_.ProbeNow(machine, now);
 }
--- a/src/scheduling/command_dispatcher.h
+++ b/src/scheduling/command_dispatcher.h
@@ -1,8 +1,8 @@
 // Selects direct commands, which the leader sends to workers, and applies their results.
 //
-// Invariant: a machine has at most one direct command in flight. A worker may execute an unanswered
-// command at any time until it sees a higher token, so the machine's token and its fencing_token
-// are raised after one (see fencing.h).
+// Invariant: a machine has at most one direct command in flight. A worker may execute a command
+// without a response at any time until it sees a higher token, so the machine's token and its
+// fencing_token are raised after such a command (see fencing.h).
 #pragma once
 
 #include <optional>
@@ -30,17 +30,18 @@
         probes_(probes),
         alarm_(alarm) {}
 
-  // Returns the next commands to send; none if no queued machine can receive commands.
+  // Returns the next direct command to send; none if no queued machine can receive commands.
   std::optional<DirectCommand> Next(Instant now);
-  // Applies the result of a command or a probe. `answer` is set only if the worker answered.
+  // Applies the result of a direct command or a probe. `response` is set only if the worker
+  // responded.
   void OnResult(const DirectCommand& direct_command, DeliveryStatus status,
-                const std::optional<Heartbeat>& answer, Instant now);
+                const std::optional<Heartbeat>& response, Instant now);
 
  private:
   bool CanSend(const Machine& machine, Instant now) const;
   void OnProbeFailed(Machine& machine, Instant now);
-  void OnAnswer(Machine& machine, const DirectCommand& direct_command, const Heartbeat& answer,
-                Instant now);
+  void OnResponse(Machine& machine, const DirectCommand& direct_command, const Heartbeat& response,
+                  Instant now);
 
   ClusterState& state_;
   CommandBuilder& command_builder_;
--- a/src/scheduling/command_queue.h
+++ b/src/scheduling/command_queue.h
@@ -1,7 +1,7 @@
 // The machines with pending commands.
 //
-// Invariant: a machine with a task that must not be started yet is in withheld_, or was moved to
-// waiting_, so the start is retried.
+// Invariant: a machine with a task that must not be started yet is in withheld_, or was moved from
+// there to waiting_, so that the start is retried.
 #pragma once
 
 #include <cstddef>
@@ -16,7 +16,7 @@
 class CommandQueue {
  public:
   void Clear();
-  // Queues the machine: there may be commands for it.
+  // Queues the machine, since there may be commands for it.
   void Request(const Machine& machine) { waiting_.insert(machine.id); }
   void Remove(const Machine& machine) { waiting_.erase(machine.id); }
   // Removes and returns the first machine; the queue must not be empty.
--- a/src/scheduling/consolidator.cc
+++ b/src/scheduling/consolidator.cc
@@ -53,7 +53,7 @@
         machine->tasks.empty())
       continue;
     candidates.replicas +=
-        machine->tasks.size() - std::min<std::size_t>(machine->arrays, machine->tasks.size());
+        machine->tasks.size() - std::min<std::size_t>(machine->array_tasks, machine->tasks.size());
     const double used_fraction = machine->used.cpus / std::max(kind.type->capacity.cpus, 1.0);
     if (used_fraction <= kMaxUsedFraction)
       candidates.machines.push_back({kind.type->price * (1 - used_fraction), machine});
--- a/src/scheduling/fencing.cc
+++ b/src/scheduling/fencing.cc
@@ -12,7 +12,7 @@
   if (machine.seen_token < machine.fencing_token && !IsDisabled(SafetyCheck::kFencingTokenSeen))
     return false;
   if (machine.command_in_flight && !IsDisabled(SafetyCheck::kCommandInFlight)) return false;
-  return !(source == MessageSource::kDirectCommandAnswer && machine.response_in_flight) ||
+  return !(source == MessageSource::kDirectCommandResponse && machine.response_in_flight) ||
          IsDisabled(SafetyCheck::kResponseInFlight);
 }
 
@@ -23,11 +23,11 @@
          heartbeat.token >= machine.seen_token;
 }
 
-bool HasRestarted(const DirectCommand& direct_command, const Heartbeat& answer) {
+bool HasRestarted(const DirectCommand& direct_command, const Heartbeat& response) {
   if (IsDisabled(SafetyCheck::kAgentRestarted)) return false;
-  return std::tuple(answer.agent_epoch, answer.sequence) <=
+  return std::tuple(response.agent_epoch, response.sequence) <=
              std::tuple(direct_command.known_agent_epoch, direct_command.known_sequence) ||
-         answer.token < direct_command.known_token;
+         response.token < direct_command.known_token;
 }
 
 bool TokensExhausted(const Machine& machine) {
--- a/src/scheduling/fencing.h
+++ b/src/scheduling/fencing.h
@@ -5,20 +5,21 @@
 //
 //  - A worker rejects commands with a token below the highest one that it has seen. Machine::token
 //    is the token that commands carry; Machine::seen_token is the highest token that the worker is
-//    known to have seen; Machine::fencing_token is above the tokens of all unanswered commands.
-//    Once seen_token >= fencing_token, none of the unanswered commands can be executed.
-//  - So a heartbeat that does not list a task proves its absence only if seen_token >=
-//  fencing_token
-//    and no direct command is in flight. An answer to a direct command proves nothing about a
-//    heartbeat response that is still in flight. The next heartbeat does: the worker sends it after
-//    it has received that response or timed out.
-//  - Messages may be delayed, duplicated or reordered. A message is applied only if it is newer
-//  than
-//    all earlier ones, by (agent epoch, sequence number) and by token: a worker restarted under the
-//    same name may have lost its sequence numbers and its token.
-//  - The answer to a direct command is created after the command was sent. If its sequence number
-//  or
-//    token is older than those known when the command was sent, the worker has lost its state.
+//    known to have seen; Machine::fencing_token is above the tokens of all direct commands that the
+//    worker may have received without a response to the leader. Once seen_token >= fencing_token,
+//    none of these can still be executed.
+//  - So a message that does not list a task proves the task's absence only if
+//    seen_token >= fencing_token and no direct command is in flight. The response to a direct
+//    command does not prove it while a heartbeat response with a `run` command is in flight. The
+//    next heartbeat does: the worker sends it only after it has received the heartbeat response or
+//    the request has timed out.
+//  - Messages may be delayed, duplicated or reordered. A message is applied only if its pair of
+//    agent epoch and sequence number is above that of the last applied message and its token is
+//    not below seen_token: a worker restarted under the same name may have lost its sequence
+//    numbers and its token.
+//  - The response to a direct command is created after the command was sent. If its pair of agent
+//    epoch and sequence number is not above the one known when the command was sent, or its token
+//    is below the one known then, the worker has lost its state.
 #pragma once
 
 #include <vector>
@@ -29,26 +30,27 @@
 
 namespace magpie {
 
-// What a worker sent a message as.
+// The kinds of messages from a worker.
 enum class MessageSource {
   kHeartbeat,
-  kDirectCommandAnswer,
+  kDirectCommandResponse,
 };
 
 // Whether a message proves that tasks it does not list can no longer start on the machine.
 bool ProvesAbsence(const Machine& machine, MessageSource source);
 
-// Whether the heartbeat is newer than all earlier messages of the machine.
+// Whether the heartbeat is newer than all messages applied to the machine before.
 bool IsNewer(const Machine& machine, const Heartbeat& heartbeat);
 
-// Whether the answer shows that the worker has lost its sequence numbers, token and tasks since the
-// command was sent.
-bool HasRestarted(const DirectCommand& direct_command, const Heartbeat& answer);
+// Whether the response shows that the worker has lost its sequence numbers, token and tasks since
+// the last message that was applied before the command was sent.
+bool HasRestarted(const DirectCommand& direct_command, const Heartbeat& response);
 
 // Whether the term has no higher token left for the machine.
 bool TokensExhausted(const Machine& machine);
 
-// Addresses commands to the machine and adds the latest sequence number and token known of it.
+// Builds a direct command to the machine. It includes the latest agent epoch, sequence number and
+// token known of the machine, which HasRestarted compares with the response.
 DirectCommand MakeDirectCommand(const Machine& machine, std::vector<Command> commands);
 
 }  // namespace magpie
--- a/src/scheduling/heartbeat_index.h
+++ b/src/scheduling/heartbeat_index.h
@@ -2,7 +2,8 @@
 //
 // Invariant: each member is in exactly one of two lists, late and fresh, both ordered by last
 // heartbeat. A heartbeat moves its machine to the end of the fresh list, and machines at the front
-// of that list become late first. So the cost depends on the number of changes, not of machines.
+// of that list become late first. So the cost of an update depends on the number of machines that
+// change lists, not on the number of all machines.
 #pragma once
 
 #include <cstdint>
@@ -18,12 +19,12 @@
 class HeartbeatIndex {
  public:
   struct Zone {
-    std::uint32_t all = 0;   // members counted in the zone
-    std::uint32_t late = 0;  // of these, with late heartbeats
-    Instant last_heartbeat;  // the latest one that was not relayed by another controller
+    std::uint32_t all = 0;   // number of members counted in the zone
+    std::uint32_t late = 0;  // of these, members with late heartbeats
+    Instant last_heartbeat;  // time of the latest one that was not relayed by another controller
   };
 
-  // The index's data of a machine. Its owner may free it after RemoveMember.
+  // The index's data for one machine. Its owner may free it after RemoveMember.
   struct Member {
     Instant last_heartbeat;
 
--- a/src/scheduling/heartbeat_processor.cc
+++ b/src/scheduling/heartbeat_processor.cc
@@ -79,20 +79,21 @@
   state_.machines.heartbeats().Watch(machine);
 }
 
-void HeartbeatProcessor::OnDirectCommandAnswer(Machine& machine,
-                                               const DirectCommand& direct_command,
-                                               const Heartbeat& answer, Instant now) {
-  if (HasRestarted(direct_command, answer)) OnAgentRestarted(machine, answer);
-  machine.token = std::max(machine.token, answer.token);
-  if (IsNewer(machine, answer)) Apply(machine, answer, MessageSource::kDirectCommandAnswer, now);
+void HeartbeatProcessor::OnDirectCommandResponse(Machine& machine,
+                                                 const DirectCommand& direct_command,
+                                                 const Heartbeat& response, Instant now) {
+  if (HasRestarted(direct_command, response)) OnAgentRestarted(machine, response);
+  machine.token = std::max(machine.token, response.token);
+  if (IsNewer(machine, response))
+    Apply(machine, response, MessageSource::kDirectCommandResponse, now);
 }
 
 // The worker was restarted and lost its sequence numbers, token and tasks. All its tasks have
-// ended, but copies of earlier commands may still be in flight, and no token that the worker has
-// seen fences them off. So the leader first sends a token above all of theirs, and the tasks stay
-// bound until the worker has seen it (ProvesAbsence).
+// ended, but copies of earlier commands may still be in flight, and the worker would not reject
+// them, since it has lost its token. So the leader first sends a token above the tokens of these
+// commands, and the tasks stay bound until the worker has seen it (ProvesAbsence).
 void HeartbeatProcessor::OnAgentRestarted(Machine& machine, const Heartbeat& heartbeat) {
-  state_.decisions.Add("agent restarted machine=" + machine.id.value);
+  state_.decisions.Add("detect agent restart machine=" + machine.id.value);
   if (TokensExhausted(machine)) {
     cloud_.Release(machine);
     return;
@@ -110,7 +111,7 @@
     Task& task = held.task();
     if (task.state != TaskPhase::kBound) continue;
     task.stop_requested = true;
-    lifecycle_.ForgetStart(*held.job, held.index);
+    lifecycle_.ClearStart(*held.job, held.index);
   }
   machine.next_probe_at = {};
   state_.machines.heartbeats().Watch(machine);
@@ -129,8 +130,8 @@
   if (new_agent_epoch) {
     // The tasks of the earlier agent epoch have ended, and this leader's commands for it have no
     // effect any more. A direct command in flight must still finish before the next one is sent.
-    // A new epoch alone does not prove absence: an earlier leader may have sent commands for this
-    // epoch, and the message of the earlier epoch may have been a delayed copy.
+    // A new agent epoch alone does not prove absence: an earlier leader may have sent commands
+    // for it, and the message of the earlier agent epoch may have been a delayed copy.
     machine.fencing_token =
         std::max(state_.term.token, std::min(machine.fencing_token, machine.seen_token));
     machine.response_in_flight = false;
@@ -138,7 +139,7 @@
   const bool proves_absence =
       (new_agent_epoch && rejects_earlier_leaders) || ProvesAbsence(machine, source);
   for (const HeldTask& held : machine.tasks) held.task().listed = false;
-  machine.last = heartbeat.tasks;
+  machine.reported_statuses = heartbeat.tasks;
   for (const TaskStatus& status : heartbeat.tasks) task_statuses_.Apply(machine, status, now);
   if (proves_absence) FinishAbsentTasks(machine, new_agent_epoch, now);
 }
@@ -190,8 +191,8 @@
   if (machine.preemption_deadline) state_.machines.heartbeats().Watch(machine);
 }
 
-// A worker that reaches no controller may still answer probes, but these renew no lease: tasks
-// would be started there and end with the lease, again and again.
+// A worker that reaches no controller may still respond to probes, but probes do not renew its
+// lease: tasks would be started there and stopped when the lease expires, again and again.
 void HeartbeatProcessor::UpdateInboundReachability(Machine& machine, MessageSource source,
                                                    Instant now) {
   constexpr double kMaxMissedIntervals = 4;
@@ -204,10 +205,11 @@
     state_.signals.MarkChanged();
 }
 
-// Handles tasks that are proved absent because the heartbeat does not list them. A cancelled task
-// or one with a stop request has ended, and one of an earlier agent epoch was killed. Any other has
-// not started and is sent again if MayStart allows it, which is checked for each task, since each
-// unbound task frees quota for the others.
+// Handles bound tasks that are proved absent because the message does not list them. The attempt is
+// finished if its job was cancelled, it was to be stopped, its result is unconfirmed, it is from an
+// earlier agent epoch and so was killed, the machine has a preemption notice, or MayStart does not
+// allow another start. Otherwise the task stays bound, and its `run` command is sent again.
+// MayStart is checked for each task, since each unbound task frees quota for the others.
 void HeartbeatProcessor::FinishAbsentTasks(Machine& machine, bool new_agent_epoch, Instant now) {
   const std::vector<HeldTask> tasks = machine.tasks;
   for (const HeldTask& held : tasks) {
@@ -216,8 +218,8 @@
     if (held.job->cancelled || task.stop_requested || task.result_unconfirmed || new_agent_epoch ||
         machine.preemption_deadline || !state_.quotas.MayStart(*held.job)) {
       lifecycle_.FinishAttempt(*held.job, held.index, now);
-    } else if (task.running) {  // the machine was restarted, and the task is started again
-      lifecycle_.ForgetStart(*held.job, held.index);
+    } else if (task.running) {  // the machine was restarted; the task is started again
+      lifecycle_.ClearStart(*held.job, held.index);
     }
   }
 }
--- a/src/scheduling/heartbeat_processor.h
+++ b/src/scheduling/heartbeat_processor.h
@@ -1,8 +1,9 @@
-// Applies heartbeats to machines and their tasks, and answers them with commands.
+// Applies heartbeats to machines and their tasks, and responds with commands.
 //
 // A heartbeat is applied only if it is newer than all earlier messages of its machine. A task that
-// it does not list is treated as absent only if that is proved (see fencing.h). Until the records
-// are loaded, the latest heartbeat of each machine is buffered and answered without commands.
+// it does not list is treated as absent only if its absence is proved (see fencing.h). Until the
+// records are loaded, the latest heartbeat of each machine is buffered, and the responses have no
+// commands.
 #pragma once
 
 #include <map>
@@ -36,9 +37,9 @@
   HeartbeatResponse OnHeartbeat(const Heartbeat& heartbeat, HeartbeatRoute route, Instant now);
   // Applies the heartbeats that were received while the records were loaded.
   void ApplyBuffered(Instant now);
-  // Applies a worker's answer to a direct command.
-  void OnDirectCommandAnswer(Machine& machine, const DirectCommand& direct_command,
-                             const Heartbeat& answer, Instant now);
+  // Applies a worker's response to a direct command.
+  void OnDirectCommandResponse(Machine& machine, const DirectCommand& direct_command,
+                               const Heartbeat& response, Instant now);
 
  private:
   void Buffer(const Heartbeat& heartbeat);
--- a/src/scheduling/job_state.h
+++ b/src/scheduling/job_state.h
@@ -26,7 +26,7 @@
   kBinding,  // assigned to a machine; the binding is not durable yet
   kBound,    // assigned to a machine by a durable binding
   kEnding,   // completed; the record of its end is not durable yet
-  kDone,     // completed, by its durable record
+  kDone,     // completed, and the record of its end is durable
 };
 
 // A task of a job. TaskLifecycle changes its state; HeartbeatProcessor and TaskStatusProcessor
@@ -38,7 +38,7 @@
   bool stop_requested = false;   // the attempt must be stopped
   bool overrun_counted = false;  // its long run time was counted against its machine
   bool start_observed = false;   // this leader observed its start, so its run time is known
-  bool unpersisted = false;      // differs from its durable record
+  bool unpersisted = false;      // its state differs from its durable record
   bool planned = false;          // its record is in the write batch under construction
   bool holds_resources = false;  // uses resources of its machine
   // The worker sent a result that may be from before this term: see TaskStatusProcessor.
@@ -46,8 +46,8 @@
   RecordPageId page = 0;  // the page with its durable record; 0: none
   Seconds termination_grace_period;
   Attempt attempt;
-  Machine* machine = nullptr;      // owned by the MachineTable
-  Instant since;                   // time of its binding, then of the first message that it runs
+  Machine* machine = nullptr;  // owned by the MachineTable
+  Instant since;  // time of its binding, later of the first message that lists it as running
   std::optional<Instant> overdue;  // when it becomes overdue, if it is in OverdueTasks
 };
 
@@ -59,7 +59,7 @@
   Revision revision;
   bool cancelled = false;
   bool within_guarantee = false;  // its team's guarantee covered it on arrival: see QuotaLedger
-  Resources claim;                // its part of its team's guarantee, until it is done
+  Resources claim;                // its part of its team's guarantee, until it is done or cancelled
   Instant cancelled_at;
   std::vector<Task> tasks;
   std::uint32_t serial = 0;                      // unique, never reused
@@ -73,12 +73,12 @@
   Instant unpersisted_since;
   bool bindings_unpersisted = false;  // a binding is not written yet
   std::map<std::string, std::uint32_t> tasks_by_zone;
-  bool reload_pending = false;  // no writes until its record is read again
+  bool reload_pending = false;  // nothing is written for it until its record is read again
   bool has_started = false;     // a worker has sent a message that one of its tasks runs
   JobPace pace;
   // Cache of RunTimeEstimator: expected run times in seconds, indexed by kind number.
   mutable std::vector<double> runs;
-  mutable std::uint64_t runs_version = 0;
+  mutable std::uint64_t runs_version = 0;  // version of the RunTimeTable used for `runs`
 };
 
 // A task assigned to a machine. The pointer stays valid, since a job is removed only when none of
--- a/src/scheduling/job_table.h
+++ b/src/scheduling/job_table.h
@@ -33,7 +33,7 @@
 
   // Removes all jobs. The numbering of serials continues.
   void Clear();
-  // Adds a job with all tasks unbound and without queueing it. It must not be in the table.
+  // Adds a job whose tasks are all unbound, and does not queue it. It must not be in the table.
   Job& Add(const JobSpec& spec);
   void Remove(Job& job);
 
--- a/src/scheduling/machine_state.h
+++ b/src/scheduling/machine_state.h
@@ -30,7 +30,7 @@
   bool slow = false;
 };
 
-// A machine, owned by the MachineTable. The base class has the time of its last heartbeat.
+// A machine, owned by the MachineTable. The base class has the time of the last heartbeat.
 struct Machine : HeartbeatIndex::Member {
   // --- Description. The type is empty until the cloud or the worker has sent it.
   MachineId id;
@@ -51,23 +51,25 @@
   bool releasing = false;                      // a release was sent or is queued
   bool cordoned = false;                       // faulty or slow: no more tasks are placed on it
   bool draining = false;                       // its replicas are moved to other machines
-  std::optional<Instant> preemption_deadline;  // when the cloud takes the machine back
+  std::optional<Instant> preemption_deadline;  // when the cloud preempts the machine
 
   // --- Failure detection
   bool relayed = false;  // another controller relays its heartbeats
-  // It answered the latest direct command or probe that was sent since relaying began.
+  // The worker responded to the latest direct command or probe. Reset when relaying begins.
   bool directly_reachable = false;
-  bool suspected = false;            // it misses heartbeats and does not answer probes
-  bool inbound_unreachable = false;  // it answers probes, but its heartbeats reach no controller
-  Instant heartbeat_received_at;     // time of its latest heartbeat, probe answers excluded
-  std::uint32_t failed_probes = 0;   // consecutive, since its latest message
-  Instant failing_since;             // time of the first of these
+  bool suspected = false;  // its heartbeats are missing and it does not respond to probes
+  // The worker responds to probes, but its heartbeats reach no controller.
+  bool inbound_unreachable = false;
+  Instant heartbeat_received_at;    // time of its latest heartbeat, responses to probes excluded
+  std::uint32_t failed_probes = 0;  // consecutive ones, since its latest message
+  Instant failing_since;            // time of the first of these
   Instant next_probe_at;
 
   // --- Commands and fencing: see fencing.h
-  std::uint64_t agent_epoch = 0;            // of the latest message
-  std::uint64_t sequence = 0;               // of the latest message
-  std::uint32_t out_of_order_messages = 0;  // consecutive, not newer than the latest applied one
+  std::uint64_t agent_epoch = 0;  // of the latest message
+  std::uint64_t sequence = 0;     // of the latest message
+  // Consecutive messages that were not newer than the latest applied one.
+  std::uint32_t out_of_order_messages = 0;
   FencingToken seen_token;
   FencingToken token;
   FencingToken fencing_token;
@@ -77,11 +79,11 @@
   Instant next_command_at;
 
   // --- Tasks: changed by TaskLifecycle
-  std::vector<HeldTask> tasks;  // those binding, bound or ending on this machine
-  Resources used;               // by tasks with holds_resources
-  std::uint32_t arrays = 0;     // how many of these tasks belong to arrays
+  std::vector<HeldTask> tasks;    // tasks binding, bound or ending on this machine
+  Resources used;                 // by those tasks that have holds_resources set
+  std::uint32_t array_tasks = 0;  // how many of those tasks belong to arrays
   Instant idle_since;
-  std::vector<TaskStatus> last;  // task statuses of the latest message
+  std::vector<TaskStatus> reported_statuses;  // task statuses in the latest message
 
   // --- Estimates
   std::deque<CachedImage> images;  // most recently used first
--- a/src/scheduling/machine_table.cc
+++ b/src/scheduling/machine_table.cc
@@ -39,7 +39,7 @@
   machines_.erase(id);
 }
 
-void MachineTable::RememberReleased(const MachineId& id) {
+void MachineTable::RecordReleased(const MachineId& id) {
   if (!released_.insert(id).second) return;
   released_order_.push_back(id);
   if (released_order_.size() <= kMaxReleasedIds) return;
--- a/src/scheduling/machine_table.h
+++ b/src/scheduling/machine_table.h
@@ -33,13 +33,13 @@
   void Clear();
   // Returns null if there is no such machine.
   Machine* Find(const MachineId& id) const;
-  // Adds a machine that is not in the table. Commands to it carry `token`.
+  // Adds a machine that is not in the table. Commands to it carry `token` until it is raised.
   Machine& Add(const MachineId& id, FencingToken token, Instant now);
   // The machine must have no tasks.
   void Remove(Machine& machine);
 
   // Records that the machine was released.
-  void RememberReleased(const MachineId& id);
+  void RecordReleased(const MachineId& id);
   bool WasReleased(const MachineId& id) const { return released_.contains(id); }
 
   // Counts the machine in its zone if tasks may run on it.
--- a/src/scheduling/plan_builder.cc
+++ b/src/scheduling/plan_builder.cc
@@ -14,7 +14,7 @@
 bool MayChangeWithTime(const Machine& machine, const MachineType& type) {
   const bool mostly_unused = 2 * machine.used.cpus <= type.capacity.cpus;
   return !machine.up || machine.tasks.empty() ||
-         (machine.arrays == 0 && !machine.spot && mostly_unused);
+         (machine.array_tasks == 0 && !machine.spot && mostly_unused);
 }
 
 Resources FreeResources(const Machine& machine, const MachineType& type) {
--- a/src/scheduling/preemption_planner.cc
+++ b/src/scheduling/preemption_planner.cc
@@ -44,7 +44,7 @@
 bool PreemptionPlanner::IsAllowedOn(const PlannedMachine& planned, const Job& job) const {
   const Machine* machine = planned.machine;
   // Commands might not reach a worker whose heartbeats are relayed by another controller.
-  if (!planned.available_now || machine == nullptr || machine->relayed || machine->arrays == 0)
+  if (!planned.available_now || machine == nullptr || machine->relayed || machine->array_tasks == 0)
     return false;
   const KindInfo& kind = state_.kinds.all()[planned.kind];
   if (!CanRunOnKind(job.spec, kind) || !IsZoneAllowed(job, kind.kind.zone)) return false;
--- a/src/scheduling/quota_ledger.cc
+++ b/src/scheduling/quota_ledger.cc
@@ -79,7 +79,8 @@
   if (job.spec.zone && *job.spec.zone != zone) return false;
   const auto it = job.tasks_by_zone.find(zone);
   const std::uint32_t tasks_in_zone = it == job.tasks_by_zone.end() ? 0 : it->second;
-  // A task bound in another zone may run there, even if only an earlier leader's record has it.
+  // A task bound in another zone may run there, even if only an earlier leader's record shows the
+  // binding.
   if (job.spec.single_zone && job.tasks_by_zone.size() > (tasks_in_zone > 0 ? 1U : 0U))
     return false;
   return tasks_in_zone < MaxTasksPerZone(job.spec);
--- a/src/scheduling/quota_ledger.h
+++ b/src/scheduling/quota_ledger.h
@@ -25,19 +25,20 @@
   explicit QuotaLedger(const std::vector<Team>& teams) : teams_(teams) {}
 
   void Clear();
-  // A task of the job was assigned to a machine or removed from it.
+  // Called when a task of the job is assigned to a machine, or removed from one.
   void AddTask(const Job& job) { usage_[job.spec.team] += job.spec.per_task; }
   void RemoveTask(const Job& job) { usage_[job.spec.team] -= job.spec.per_task; }
   const TeamUsage& usage() const { return usage_; }
 
-  // Whether the job's team may use `more` in addition to `usage`. An unknown team has no quota.
+  // Whether the job's team may use `more` in addition to `usage`. An unknown team may use nothing.
   bool WithinQuota(const Job& job, const TeamUsage& usage, const Resources& more) const;
-  // Whether a bound task of the job may be started if it is not on its machine: only while the
-  // bindings of its team and its job comply with the quota and the zone rules. Bindings of this
-  // leader do. But an earlier leader may have unbound a task without a durable record and given its
-  // quota or its zone's share to another task, so both are bound in the records. Then bound tasks
-  // that are proved absent are unbound, not started, until the rest complies. The proof is in
-  // docs/design.md, "Limits and zones".
+  // Whether a bound task of the job that is not on its machine may be started: only while the
+  // bindings of its team comply with the quota and those of its job with the zone rules. The
+  // bindings made by this leader comply. But an earlier leader may have unbound a task without a
+  // durable record of that and given its quota or its zone's share to another task, so that both
+  // are bound in the records. Then bound tasks that are proved absent are unbound instead of
+  // started, until the remaining bindings comply. The proof is in docs/design.md, "Limits and
+  // zones".
   bool MayStart(const Job& job) const;
 
   // Whether the team's guarantee covers this usage.
@@ -47,7 +48,7 @@
   // Determines which of the arrived jobs are covered as a whole by their team's guarantee, together
   // with the team's earlier unfinished jobs (PROTOCOL, "How aims are counted"). Checking the
   // current usage instead would let tasks of jobs that are not covered use up the guarantee of
-  // those that are. Jobs claim in the order of submission; a new leader loads them in another
+  // those that are. Jobs claim in the order of submission, since a new leader loads them in another
   // order.
   void ClaimGuarantees(std::vector<Job*> arrived);
   // Ends the claim of a job that is done, cancelled or removed.
--- a/src/scheduling/record_loader.cc
+++ b/src/scheduling/record_loader.cc
@@ -11,8 +11,9 @@
 
 namespace magpie {
 namespace {
-// Orders the records of a task: a done task after an undone one, then by attempt, then an unbound
-// attempt after a bound one. Each record that is written for a task compares greater than the last.
+// Orders the records of a task. A record in which the task is done comes after one in which it is
+// not, then a higher attempt after a lower one, then an unbound attempt after a bound one. Each
+// record written for a task compares greater than the one before.
 auto RecordOrder(const TaskRecord& record) {
   return std::tuple(record.done, record.attempt, record.machine.value.empty());
 }
@@ -79,7 +80,7 @@
 
 void RecordLoader::ApplyRecord(Job& job, const TaskRecord& record) {
   Task& task = job.tasks[record.index];
-  lifecycle_.DiscardBinding(job, record.index);  // in case an earlier record was read before
+  lifecycle_.DiscardBinding(job, record.index);  // of an earlier record that was read before
   task.attempt = record.attempt;
   if (record.done) {
     task.state = TaskPhase::kDone;
--- a/src/scheduling/record_loader.h
+++ b/src/scheduling/record_loader.h
@@ -2,8 +2,8 @@
 // changes of job records.
 //
 // Invariant: records may be read in any order, and a task may have several in different pages. Of
-// two records of a task the later one is used: the one with the later result, attempt or end. The
-// order of pages has no effect.
+// two records of a task the later one is used: the one with the task done, else the one with the
+// higher attempt, else the one with the attempt unbound. The order of pages has no effect.
 #pragma once
 
 #include <vector>
@@ -25,11 +25,11 @@
   RecordLoader(ClusterState& state, TaskLifecycle& lifecycle)
       : state_(state), lifecycle_(lifecycle) {}
 
-  // Loads the job's record of a revision. Revisions older than the known one are ignored.
+  // Loads the job's record at `revision`. A revision older than the loaded one is ignored.
   void LoadJob(const JobSpec& spec, bool cancelled, Revision revision);
-  // The job's record shows at the revision that the job was cancelled.
+  // The job's record at `revision` shows that the job was cancelled.
   void OnJobCancelled(const JobId& id, Revision revision);
-  // The job's record was removed at the revision, since the job is final.
+  // The job's record was removed at `revision`, since the job is final.
   void OnJobRemoved(const JobId& id, Revision revision);
   void LoadPage(const RecordPageKey& key, const std::vector<RecordPageEntry>& records,
                 Revision revision);
--- a/src/scheduling/record_pages.h
+++ b/src/scheduling/record_pages.h
@@ -1,8 +1,8 @@
 // Tracks which durable page holds the latest record of each task.
 //
 // Pages are shared by all jobs, since the key-value store allows few writes per second, but each
-// may carry a few hundred bindings. A rewritten page keeps the records that are still the latest of
-// their tasks.
+// write may contain a few hundred bindings. A rewritten page keeps those of its records that are
+// still the latest of their tasks.
 //
 // Invariant: a page's count of live records is the number of tasks assigned to the page by Put.
 #pragma once
@@ -50,7 +50,7 @@
   // records if it has at most `max_live`, else a new one.
   Id SelectForWrite(std::uint32_t max_live, const std::vector<Id>& excluded);
   const Page& at(Id page) const { return pages_.at(page); }
-  // Records that the page was rewritten: it has only the records that are Put afterwards.
+  // Records that the page was rewritten: it then has only the records added with Put afterwards.
   void OnWritten(Id page, Revision revision);
 
   // Returns a durable page to remove: one without live records that is not kept as a spare.
@@ -65,8 +65,9 @@
 
   std::unordered_map<Id, Page> pages_;
   std::set<std::pair<std::uint32_t, Id>> by_live_;  // shared pages by number of live records
-  std::set<Id> empty_;  // pages without live records, including blocks of earlier versions
-  std::size_t empty_shared_ = 0;
+  // Pages without live records, including blocks of single jobs as written by earlier versions.
+  std::set<Id> empty_;
+  std::size_t empty_shared_ = 0;  // number of shared pages in empty_
   Id last_id_ = 0;
   std::uint64_t next_number_ = 1;
 };
--- a/src/scheduling/record_writer.cc
+++ b/src/scheduling/record_writer.cc
@@ -7,11 +7,12 @@
 
 namespace magpie {
 namespace {
-// A new term starts with a small budget, since the previous leader, or this process in an earlier
-// term, may just have used up the store's rate.
+// A new term starts with only the budget of this time, since the previous leader, or this process
+// in an earlier term, may just have used up the store's writes per second.
 constexpr Seconds kInitialBudget{0.3};
 constexpr double kMinOperations = 3;  // a job's final record takes two
-// The budget is low or high if it is below or above this fraction of a second's operations.
+// Fractions of the operations that the leader may write in one second. The budget is low if it is
+// below the first, and high if it is not below the second.
 constexpr double kLowBudgetFraction = 0.5;
 constexpr double kHighBudgetFraction = 0.9;
 constexpr Seconds kMaxEndDelay{2};
@@ -48,9 +49,10 @@
   });
 }
 
-// Bindings are written first, since tasks wait for them, by priority and then by age: after the
-// failure of many machines, hundreds wait for a few writes per second. Final records follow, since
-// users wait for them, then ends of single tasks, which may be delayed while the budget is low.
+// Bindings are written first, since tasks start only after them, in the order of priority and then
+// of age: after the failure of many machines, hundreds of bindings compete for a few writes per
+// second. Final records follow, since users wait for them, then ends of single tasks, which may be
+// delayed while the budget is low.
 std::vector<JobId> RecordWriter::WriteOrder(Instant now) const {
   const bool low_budget = budget_ < kLowBudgetFraction * state_.options.writes_per_s;
   const bool writes_low_priority = WritesLowPriorityBindings(now);
@@ -104,7 +106,8 @@
     // If discarding bindings made a cancelled job final, it stays marked for its final record.
     if (!job.cancelled || !lifecycle_.IsFinal(job)) state_.unpersisted.Remove(id);
   }
-  // Pages without live records cost only space, so they are removed when nothing else is written.
+  // Pages without live records cost only space, so one is removed only when nothing else is written
+  // and enough budget is left.
   if (removable_page && builder.empty() && budget_ >= kLowBudgetFraction * MaxBudget())
     builder.AddRemoval(*removable_page);
   budget_ -= static_cast<double>(builder.operations());
@@ -112,8 +115,8 @@
   return builder.Finish();
 }
 
-// Tasks of a cancelled job need no records. Unwritten bindings are undone at once, which is safe
-// since no write of one is in progress.
+// Tasks of a cancelled job need no records. Its unwritten bindings are undone at once, which is
+// safe since no write of them is in progress.
 void RecordWriter::DiscardUnwrittenBindings(Job& job, Instant now) {
   for (const std::uint32_t index : std::exchange(job.unpersisted_tasks, {})) {
     job.tasks[index].unpersisted = false;
--- a/src/scheduling/record_writer.h
+++ b/src/scheduling/record_writer.h
@@ -2,7 +2,7 @@
 //
 // Invariant: at most one batch is in progress. A binding is durable, and its task may be started,
 // only after the batch with it was committed; a binding in a rejected batch never existed outside
-// this process. The leader limits its writes to its part of the store's writes per second, since
+// this process. The leader limits its writes to its share of the store's writes per second, since
 // users' submissions need the rest.
 #pragma once
 
--- a/src/scheduling/scheduler.h
+++ b/src/scheduling/scheduler.h
@@ -53,8 +53,8 @@
 
 namespace magpie {
 
-// Not thread-safe. Until the records are loaded, only Start, Stop and the functions that load
-// records have an effect; others do nothing or return an empty result.
+// Not thread-safe. Until the records are loaded, no writes, commands, probes or cloud calls are
+// returned, Tick has no effect and heartbeats are buffered.
 class Scheduler {
  public:
   using Options = SchedulerOptions;
@@ -64,7 +64,8 @@
   // --- Leadership
 
   // Begins a term of leadership with an empty state; jobs and record pages are loaded next.
-  // `request_prefix` starts the names of the term's provisioning requests and must be unique to it.
+  // The names of the term's provisioning requests begin with `request_prefix`, which must be unique
+  // to the term.
   void Start(Revision epoch, std::string request_prefix, Instant now);
   // Ends the term; no more decisions are made.
   void Stop();
@@ -83,12 +84,12 @@
   }
   // Called when all records are loaded. LoadJob may still add and change jobs afterwards.
   void FinishLoad(Instant now);
-  // The job's record shows at the revision that the job was cancelled.
+  // The job's record at `revision` shows that the job was cancelled.
   void OnCancelled(const JobId& id, Revision revision) { loader_.OnJobCancelled(id, revision); }
-  // The job's record was removed at the revision, since the job is final.
+  // The job's record was removed at `revision`, since the job is final.
   void OnJobRemoved(const JobId& id, Revision revision) { loader_.OnJobRemoved(id, revision); }
-  // Sets whether tasks may be started. A leader that may lack cancellations must not start
-  // tasks.
+  // Sets whether tasks may be started. A leader that may not have received all cancellations must
+  // not start tasks.
   void AllowTaskStarts(bool allowed) { state_.term.may_start = allowed; }
 
   // Returns the next batch to write; empty if there is none. Its result is passed to
@@ -102,7 +103,7 @@
 
   // --- Workers
 
-  // `relayed`: another controller relayed the heartbeat, since the worker could not reach the
+  // `relayed`: another controller relayed the heartbeat, since the worker could not reach this
   // leader.
   HeartbeatResponse OnHeartbeat(const Heartbeat& heartbeat, Instant now, bool relayed = false);
   std::optional<DirectCommand> NextDirectCommand(Instant now) { return dispatcher_.Next(now); }
@@ -110,20 +111,22 @@
   std::size_t machines_awaiting_commands() const { return state_.commands.size(); }
   // Returns the next probe: a direct command without commands to a machine with late heartbeats.
   std::optional<DirectCommand> NextProbe(Instant now) { return probes_.Next(now); }
-  // Selects machines to probe if a scan is due; returns the number of machines waiting for a probe.
+  // Selects machines to probe if the scan interval has passed. Returns the number of machines that
+  // wait for a probe.
   std::size_t ScanForProbes(Instant now) { return probes_.Scan(now); }
-  // Applies the result of a command or a probe. `answer` is set only if the worker answered.
+  // Applies the result of a direct command or a probe. `response` is set only if the worker
+  // responded.
   void OnDirectCommandResult(const DirectCommand& direct_command, DeliveryStatus status,
-                             const std::optional<Heartbeat>& answer, Instant now) {
-    dispatcher_.OnResult(direct_command, status, answer, now);
+                             const std::optional<Heartbeat>& response, Instant now) {
+    dispatcher_.OnResult(direct_command, status, response, now);
   }
 
   // --- Cloud
 
   void SetTypes(std::vector<MachineType> types);
-  // Returns the next call to make. Its result is passed to one of the functions below.
+  // Returns the next call to make, if any. Its result is passed to one of the functions below.
   std::optional<CloudCall> NextCloudCall(Instant now) { return cloud_.NextCall(now); }
-  // `machines` may be fewer than the call requested.
+  // `machines` may have fewer machines than the call requested.
   void OnProvisioned(const CloudCall& call, const std::vector<MachineId>& machines, Instant now) {
     cloud_.OnProvisioned(call, machines, now);
   }
@@ -131,7 +134,7 @@
     cloud_.OnProvisioningRefused(call, now);
   }
   // The cloud may have executed the call, or may still do so.
-  void OnProvisioningUnknown(const CloudCall& call) { cloud_.OnProvisioningUnknown(call); }
+  void OnProvisioningUnconfirmed(const CloudCall& call) { cloud_.OnProvisioningUnconfirmed(call); }
   void OnReleased(const CloudCall& call, Instant now) { cloud_.OnReleased(call, now); }
   void OnReleaseUnconfirmed(const CloudCall& call) { cloud_.OnReleaseUnconfirmed(call); }
   void OnList(const std::vector<ListedMachine>& machines, Instant now) {
@@ -148,9 +151,9 @@
 
   // --- Status
 
-  // Returns the texts of decisions made since the last call; empty unless Options::log_decisions is
-  // set.
-  std::vector<std::string> TakeDecisions() { return state_.decisions.Take(); }
+  // Returns the texts of the decisions made since the last call. They are recorded only if
+  // Options::log_decisions is set.
+  std::vector<std::string> TakeDecisions() { return state_.decisions.TakeAll(); }
   // The number of machines on which tasks may run.
   std::size_t ReachableMachines() const { return CountReachableMachines(state_); }
   // Returns none if the job is unknown or the records are not loaded.
--- a/src/scheduling/scheduler_status.h
+++ b/src/scheduling/scheduler_status.h
@@ -23,7 +23,7 @@
 // Progress of the comparison of durable records with heartbeats after a takeover.
 struct ReconciliationProgress {
   std::size_t machines = 0;           // machines with bound tasks in the records at the takeover
-  std::size_t reconciled = 0;         // of these, with a heartbeat or a removal since
+  std::size_t reconciled = 0;         // of these, removed or with a heartbeat since then
   std::uint64_t commands_issued = 0;  // commands issued to workers
   bool idle = false;                  // no command and no write is pending
 };
@@ -35,7 +35,7 @@
   std::size_t bound = 0;    // tasks that are binding, bound or ending
   std::size_t machines_up = 0;
   std::size_t machines_starting = 0;
-  // Work since the takeover:
+  // Counters of work since the takeover:
   std::uint64_t candidates_evaluated = 0;  // by placement
   std::uint64_t jobs_planned = 0;
   std::uint64_t machines_inspected = 0;  // by plans, probes and inspections
--- a/src/scheduling/task_lifecycle.cc
+++ b/src/scheduling/task_lifecycle.cc
@@ -15,7 +15,7 @@
   machine.tasks.push_back({&job, index});
   machine.used += job.spec.per_task;
   if (job.spec.kind == JobKind::kArray) {
-    ++machine.arrays;
+    ++machine.array_tasks;
     state_.array_cpus.at(static_cast<std::size_t>(job.spec.priority)) += job.spec.per_task.cpus;
   }
   ++job.bound;
@@ -45,7 +45,7 @@
   state_.signals.MarkChanged();
   task.machine->used -= job.spec.per_task;
   if (job.spec.kind != JobKind::kArray) return;
-  --task.machine->arrays;
+  --task.machine->array_tasks;
   state_.array_cpus.at(static_cast<std::size_t>(job.spec.priority)) -= job.spec.per_task.cpus;
 }
 
@@ -135,12 +135,12 @@
 void TaskLifecycle::SetResultUnconfirmed(Job& job, std::uint32_t index) {
   Task& task = job.tasks[index];
   task.result_unconfirmed = true;
-  ForgetStart(job, index);
+  ClearStart(job, index);
   FreeResources(job, task);
   state_.signals.RequestTick();
 }
 
-void TaskLifecycle::ForgetStart(Job& job, std::uint32_t index) {
+void TaskLifecycle::ClearStart(Job& job, std::uint32_t index) {
   Task& task = job.tasks[index];
   task.running = task.start_observed = false;
   state_.overdue.Remove(job, index);
--- a/src/scheduling/task_lifecycle.h
+++ b/src/scheduling/task_lifecycle.h
@@ -24,31 +24,34 @@
   // Assigns a pending task to a machine as a new attempt, which is started once the binding is
   // durable. The caller removes the task from the job's pending tasks.
   void Bind(Job& job, std::uint32_t index, Machine& machine, Instant now);
-  // The binding is durable: requests the command that starts the task.
+  // Called when the binding is durable; requests the command that starts the task.
   void ConfirmBinding(Job& job, std::uint32_t index);
-  // Removes a task from its machine, if it has one. It is pending again unless it has ended.
+  // Removes a task from its machine, if it has one. The task is pending again unless it has ended.
   void Unbind(Job& job, std::uint32_t index, Instant now);
   // Restores the binding of a durable record.
   void RestoreBinding(Job& job, std::uint32_t index, Machine& machine);
   // Undoes a binding restored from an older record.
   void DiscardBinding(Job& job, std::uint32_t index);
 
-  // The task completed; it is done once its record is durable.
+  // Records that the task completed. It is ending, and it is done once its record is durable.
   void SetDone(Job& job, std::uint32_t index, Instant now);
-  // The attempt has a result, but may have been started again after the worker sent it. It uses no
-  // resources and is not started again. It stays bound, also in the records, so that any leader
-  // counts it in its team's quota and in its zone until the attempt is proved to have ended.
+  // Records that the attempt has a result, but may have been started again after the worker sent
+  // the result. The task uses no resources and is not started again. It stays bound, also in the
+  // records, so that any leader counts it in its team's quota and in its zone until the attempt is
+  // proved to have ended.
   void SetResultUnconfirmed(Job& job, std::uint32_t index);
-  // The attempt is not known to run any more. If it runs later, its run time is unknown.
-  void ForgetStart(Job& job, std::uint32_t index);
-  // The job is final: ends the task and removes it from its machine.
+  // Discards the start of the attempt, since it may not be running any more. If it runs later, its
+  // run time is unknown.
+  void ClearStart(Job& job, std::uint32_t index);
+  // Ends a task of a job that is final, and removes it from its machine.
   void EndWithJob(Job& job, std::uint32_t index, Instant now);
-  // The bound attempt is not on its machine and can no longer start there.
+  // Called when the bound attempt is not on its machine and can no longer start there. A task with
+  // an unconfirmed result is then ending, unless its job is cancelled; any other task is unbound.
   void FinishAttempt(Job& job, std::uint32_t index, Instant now);
 
   // Stops all tasks of a cancelled job.
   void StopAll(Job& job);
-  // Marks a task for stopping; it will run elsewhere. The caller requests the command.
+  // Marks a task for stopping; it is placed again after that. The caller requests the command.
   void StopTask(const HeldTask& held, Seconds termination_grace_period);
 
   // Whether the job's record may be replaced by its final record.
--- a/src/scheduling/task_status_processor.cc
+++ b/src/scheduling/task_status_processor.cc
@@ -8,7 +8,7 @@
 namespace magpie {
 namespace {
 // Delays before the next placement of a job after a worker refused to start one of its tasks.
-constexpr Seconds kUnknownTaskDelay{2};  // the worker has not received its description yet
+constexpr Seconds kUnknownTaskDelay{2};  // the worker has not received the task's description yet
 constexpr Seconds kInsufficientCapacityDelay{0.5};
 
 // Whether the task's image is in the machine's cache, judged by the task's status.
@@ -49,7 +49,9 @@
                                       Instant now) {
   const std::uint32_t index = status.task.index;
   Task& task = job.tasks[index];
-  if (task.result_unconfirmed) return;  // started again: ends as soon as its image is fetched
+  // The attempt was started again. The worker ends it as done as soon as its image is fetched,
+  // since it has recorded that the task completed.
+  if (task.result_unconfirmed) return;
   const bool running = status.state == TaskState::kRunning;
   const bool started = running && !task.running;
   if (started) task.since = now;
@@ -65,7 +67,7 @@
 }
 
 // It is safe to unbind an attempt that the worker lists as ended: while it is listed, a delayed
-// `run` of it has no effect, and the worker is told to forget it only when no such command is in
+// `run` of it has no effect, and a forget command for it is sent only when no such `run` is in
 // flight (CommandBuilder).
 void TaskStatusProcessor::ApplyEnded(Machine& machine, Job& job, const TaskStatus& status,
                                      Instant now) {
@@ -117,7 +119,7 @@
   for (const MachineId& id : verdict.faulty) {
     Machine* machine = state_.machines.Find(id);
     if (machine == nullptr || std::exchange(machine->cordoned, true)) continue;
-    state_.decisions.Add("cordon reason=faulty machine=" + id.value);
+    state_.decisions.Add("cordon machine=" + id.value + " reason=faulty");
     state_.machines.heartbeats().Watch(*machine);
     state_.signals.RequestInspection();
   }
--- a/src/scheduling/task_status_processor.h
+++ b/src/scheduling/task_status_processor.h
@@ -2,8 +2,8 @@
 //
 // A result is accepted from any attempt, provided that no other attempt is bound to a machine. Any
 // other end is accepted only for the attempt bound to the sender, and only if the worker has seen a
-// token of this term. Otherwise the message may be a delayed copy, and the worker may have started
-// the same attempt again after a forget command or in a new agent epoch.
+// token of this term. Without such a token, the message may be a delayed copy, and the worker may
+// have started the same attempt again after a forget command or in a new agent epoch.
 #pragma once
 
 #include <cstdint>
@@ -32,7 +32,7 @@
   void ApplyActive(Machine& machine, Job& job, const TaskStatus& status, Instant now);
   void ApplyEnded(Machine& machine, Job& job, const TaskStatus& status, Instant now);
   void ApplyCompleted(Machine& machine, Job& job, std::uint32_t index, Instant now);
-  // Cordons machines that were found faulty.
+  // Cordons the machines that the verdict names as faulty.
   void ApplyVerdict(const FailureAttribution::Verdict& verdict);
 
   ClusterState& state_;
--- a/src/scheduling/unpersisted_records.h
+++ b/src/scheduling/unpersisted_records.h
@@ -18,9 +18,9 @@
 class UnpersistedRecords {
  public:
   void Clear() { jobs_.clear(); }
-  // The task's record must be written.
+  // Records that the task's record must be written.
   void MarkTask(Job& job, std::uint32_t index, Instant now);
-  // The next write must consider the job, for one of its tasks or for its final record.
+  // Records that the job may have a task record or a final record to write.
   void MarkJob(const JobId& id) { jobs_.insert(id); }
   void Remove(const JobId& id) { jobs_.erase(id); }
   bool empty() const { return jobs_.empty(); }
--- a/src/scheduling/write_batch_builder.cc
+++ b/src/scheduling/write_batch_builder.cc
@@ -8,7 +8,7 @@
 
 namespace magpie {
 namespace {
-constexpr std::size_t kLeadershipConditions = 2;  // on the leader's key and on the epoch
+constexpr std::size_t kLeadershipConditions = 2;  // one on the leader key, one on the epoch
 constexpr std::size_t kConditionsPerOperation = 4;
 constexpr std::size_t kLongRecordBytes = 128;
 
@@ -72,7 +72,8 @@
   return job.unpersisted_tasks.empty();
 }
 
-// Adds the page with the lowest cost of rewriting; returns false if the batch has no space for one.
+// Adds the page with the fewest records to keep; returns false if the batch has no space for a
+// page.
 bool WriteBatchBuilder::AddPage() {
   constexpr std::size_t kMaxKeptDivisor = 4;  // kept records take at most 1/4 of a page
   const std::size_t max_page_bytes = state_.options.max_page_bytes;
--- a/src/scheduling/write_batch_builder.h
+++ b/src/scheduling/write_batch_builder.h
@@ -1,7 +1,7 @@
 // Builds one write batch within limits on operations, conditions and bytes.
 //
-// Invariant: a task is marked planned while the batch under construction has its record, so that a
-// rewritten page does not get the record twice. A page in the batch keeps the durable records of
+// Invariant: Task::planned is set while the batch under construction has the task's record, so that
+// a rewritten page does not get the record twice. A page in the batch keeps the durable records of
 // all tasks whose latest record it has.
 #pragma once
 
--- a/tests/job_progress_test.cc
+++ b/tests/job_progress_test.cc
@@ -1,4 +1,4 @@
-// Jobs that could run must not be held up by reservations or by the choice of a zone.
+// Reservations and the choice of a zone must not delay jobs that could run.
 #include <gtest/gtest.h>
 
 #include "test_cluster.h"
@@ -8,7 +8,7 @@
 
 class JobProgressTest : public ClusterTest {
  protected:
-  // Occupies machines of the zone with tasks that are not preempted.
+  // Fills machines of the zone with tasks that are not preempted.
   void Fill(TestController& controller, const std::string& job, const std::string& zone,
             std::uint32_t tasks, double cpus, Seconds estimate) {
     JobSpec spec = MakeJob(job, tasks);
@@ -29,9 +29,9 @@
   }
 };
 
-// A job waits for a machine in its zone that is occupied for minutes. Its reservation held the
-// team's quota meanwhile, so another job of the team was not placed on an idle machine although the
-// team used nothing.
+// A job waits for a machine in its zone that is occupied for minutes. In an earlier version, its
+// reservation held the team's quota meanwhile, so another job of the team was not placed on an idle
+// machine although the team used nothing.
 TEST_F(JobProgressTest, DistantReservationHoldsNoQuota) {
   AddWorker("m-1", "large", "a");
   FakeWorker& idle = AddWorker("m-2", "large", "b");
@@ -59,8 +59,8 @@
   EXPECT_EQ(CountLiveTasks(), 3U);
 }
 
-// One zone has the maximum number of tasks of a job with spread. The planner chose the cheapest
-// zone for a new machine, which was the full one, so no machine was provisioned.
+// One zone has the maximum number of tasks of a job with spread. In an earlier version, the planner
+// chose the cheapest zone for a new machine, which was that one, so no machine was provisioned.
 TEST_F(JobProgressTest, MachineIsProvisionedInZoneAllowedBySpread) {
   AddWorker("m-1", "large", "a");
   for (int i = 2; i < 5; ++i) AddWorker("m-" + std::to_string(i), "large", "b");
--- a/tests/quick_restart_test.cc
+++ b/tests/quick_restart_test.cc
@@ -1,5 +1,5 @@
-// A controller process or a machine restarts at once, before any lease expires and before its
-// failure is detected. Messages that it sent before the restart may still arrive.
+// Tests of a controller process or a machine that restarts at once, before any lease expires and
+// before its failure is detected. Messages that it sent before the restart may still arrive.
 #include "test_cluster.h"
 
 namespace magpie::testing {
@@ -10,7 +10,8 @@
 class QuickRestartTest : public ClusterTest {
  protected:
   // Delivers direct commands and probes. The controller crashes at the command that
-  // commands_until_crash selects: the fault decides whether that command is executed, lost or late.
+  // commands_until_crash selects. The fault determines whether that command is executed, lost or
+  // delayed.
   void DeliverDirectCommands(TestController& controller) {
     while (auto direct_command = controller.core.NextDirectCommand(now)) {
       FakeWorker& worker = WorkerOf(direct_command->machine);
@@ -36,7 +37,7 @@
                          [&](const FakeWorker& worker) { return worker.id() == id; });
   }
 
-  void Round(TestController& controller) {
+  void RunRound(TestController& controller) {
     controller.core.Tick(now, wall);
     while (controller.WriteOnce(now)) Check();
     DeliverDirectCommands(controller);
@@ -46,7 +47,7 @@
     AdvanceTime(0.3);
   }
 
-  // Checks that no task runs twice and that the team's quota is kept.
+  // Checks that no task runs twice and that the team blue does not exceed its quota.
   void Check() {
     std::map<TaskId, int> live;
     double blue_cpus = 0;
@@ -57,7 +58,7 @@
             EXPECT_EQ(++live[TaskOf(job, i)], 1) << job << "/" << i << " runs twice";
             if (job == "j-2") blue_cpus += 2;
           }
-    EXPECT_LE(blue_cpus, 6) << "the team's quota";
+    EXPECT_LE(blue_cpus, 6) << "more CPUs than the team's quota";
     ++checks_;
   }
 
@@ -101,7 +102,7 @@
           Submit(*controller, spec);  // repeated in every round, as users may do
         }
         controller->ReadJobs();
-        Round(*controller);
+        RunRound(*controller);
         CompleteSomeTasks(round);
         if (round % 4 == 3 && !delayed_commands_.empty()) {
           WorkerOf(delayed_commands_.front().machine).Take(delayed_commands_.front());
@@ -156,8 +157,8 @@
   RecordProperty("points", points);
 }
 
-// The leader's key and lease of the previous process still exist. The new process must win a new
-// epoch. The previous process, if it still runs, can neither write nor command workers.
+// The leader key and the lease of the previous process still exist. The new process must get a new
+// epoch. The previous process, if it still runs, cannot write, and workers reject its commands.
 TEST_F(QuickRestartTest, LeaderRestartsBeforeOldLeaseExpires) {
   FakeWorker& worker = AddWorker("m-1", "large");
   TestController& old_process = AddController("n0");
@@ -183,7 +184,7 @@
 }
 
 // All controllers fail at once and restart one after the other. While the old leader's key exists,
-// only that leader can be elected again; after its lease expires, another controller can.
+// only that controller can be elected again; after its lease expires, another controller can.
 TEST_F(QuickRestartTest, AllControllersRestartAtDifferentTimes) {
   TestController& old_leader = AddController("n0");
   ASSERT_TRUE(old_leader.TakeOver(now));
@@ -231,7 +232,8 @@
   }
 }
 
-// Users repeat requests at a restarted process because the answers of the old one were lost.
+// Users repeat their requests to a restarted process, since the responses of the old process were
+// lost.
 TEST_F(QuickRestartTest, RepeatedRequestsReturnDurableState) {
   store.crash_fault = Fault::kLoseResponse;
   store.commits_until_crash = 0;
@@ -252,9 +254,10 @@
   EXPECT_EQ(last.State("j-1"), "withdrawn");
 }
 
-// A machine restarts under its name and its worker has lost its state. Its low sequence numbers
-// were taken for delayed copies, and its tasks for running, until its lease would have expired. It
-// never expired, since its heartbeats were answered.
+// A machine restarts under the same name, and its worker has lost its state. In an earlier version,
+// the worker's messages with low sequence numbers were treated as delayed copies, and its lost
+// tasks as running, until its lease would expire. The lease never expired, since its heartbeats got
+// responses.
 TEST_F(QuickRestartTest, MachineWithLostStateIsDetected) {
   FakeWorker& worker = AddWorker("m-1");
   FakeWorker& other = AddWorker("m-2");
@@ -262,7 +265,7 @@
   ASSERT_TRUE(controller.TakeOver(now));
   Settle(controller);
   Run(controller, MakeJob("j-1", 2));
-  for (int i = 0; i < 3; ++i) Round(controller);
+  for (int i = 0; i < 3; ++i) RunRound(controller);
   FakeWorker& restarted = worker.LiveTaskCount() > 0 ? worker : other;
   magpie::Heartbeat delayed_heartbeat = restarted.Snapshot();
   delayed_heartbeat.sequence += 5;  // the last one before the restart is still in flight
@@ -270,7 +273,7 @@
   jobs_ = {{"j-1", 2}};
   for (int i = 0; i < 12; ++i) {
     if (i == 6) restarted.Deliver(controller.core.OnHeartbeat(delayed_heartbeat, now));
-    Round(controller);
+    RunRound(controller);
   }
   EXPECT_EQ(CountLiveTasks(), 2U);
   EXPECT_EQ(controller.core.GetJobProgress({"j-1"})->running, 2U);
@@ -305,7 +308,7 @@
     if (i == 2)
       for (const magpie::DirectCommand& direct_command : sent)
         WorkerOf(direct_command.machine).Take(direct_command);
-    Round(controller);
+    RunRound(controller);
   }
   EXPECT_EQ(CountLiveTasks(), 6U);
 }
--- a/tests/quota_test.cc
+++ b/tests/quota_test.cc
@@ -1,6 +1,6 @@
 // Quotas of teams and zone rules of jobs across a change of leader. A task that the old leader
-// unbound stays bound in the records until its page is rewritten, while another task with a durable
-// binding may have got its quota or its zone's share. The new leader reads both as bound.
+// unbound stays bound in the records until its page is rewritten, while its quota or its zone's
+// share may be used by another task with a durable binding. The new leader loads both as bound.
 #include "test_cluster.h"
 
 namespace magpie::testing {
@@ -18,7 +18,7 @@
   }
 
   // n0 becomes the leader, and m-1 runs `tasks` tasks of j-1. The page with their records has so
-  // many others that it is not rewritten soon.
+  // many other records that it is not rewritten soon.
   void Begin(std::uint32_t tasks, bool single_zone = false, bool spread = false) {
     m1 = &AddWorker("m-1", "large", "a");
     old_leader = &AddController("n0");
@@ -43,7 +43,7 @@
     return cpus;
   }
 
-  // n0 applies m-1's heartbeat and binds tasks of j-2 on m-2 with the quota that it freed.
+  // n0 applies m-1's heartbeat, which frees quota, and binds tasks of j-2 to m-2 with that quota.
   void ReuseFreedQuota() {
     old_leader->core.OnHeartbeat(m1->Snapshot(), now);  // the response is lost
     m2 = &AddWorker("m-2", "large", "b");
@@ -125,7 +125,7 @@
       Begin(3);
       cause(*m1);
       ReuseFreedQuota();
-      // n0 tells m-1 to forget the ended attempts.
+      // n0 sends forget commands for the ended attempts to m-1.
       m1->Deliver(old_leader->core.OnHeartbeat(m1->Snapshot(), now));
       ElectNextLeader();
       SendHeartbeats(m1_first);
@@ -133,7 +133,7 @@
     }
 }
 
-// The same for the rule that all tasks of a job run in a single zone.
+// Like the test above, for the rule that all tasks of a job run in a single zone.
 TEST_F(QuotaTest, UnpersistedUnbindingAllowsNoStartInSecondZone) {
   for (const bool m1_first : {true, false}) {
     SCOPED_TRACE(m1_first);
@@ -159,8 +159,8 @@
     }
     Heartbeat(*old_leader, *m2);
     ASSERT_EQ(BlueCpus(), 4) << "two tasks run in zone b";
-    m1->Deliver(
-        old_leader->core.OnHeartbeat(m1->Snapshot(), now));  // it forgets the ended attempts
+    // n0 sends forget commands for the ended attempts to m-1.
+    m1->Deliver(old_leader->core.OnHeartbeat(m1->Snapshot(), now));
     ElectNextLeader();
     for (int i = 0; i < 8; ++i) {
       for (FakeWorker* worker : {m1_first ? m1 : m2, m1_first ? m2 : m1}) {
@@ -204,7 +204,7 @@
     Heartbeat(third, *m2);
     EXPECT_LE(BlueCpus(), kQuotaCpus);
   }
-  // The worker's own heartbeat then lists the attempts as running. Their ends are applied at once.
+  // The worker's next heartbeat lists the attempts as running. Their ends are then applied at once.
   Heartbeat(third, *m1);
   m1->EndAll(ExitReason::kDone);
   for (int i = 0; i < 4; ++i) {
@@ -219,7 +219,7 @@
   EXPECT_EQ(BlueCpus(), kQuotaCpus);
 }
 
-// A result from before the leader's term is kept, whatever happens to the machine: the task uses no
+// A result from before the leader's term is kept, whatever happens to the machine. The task uses no
 // capacity and is not started again. Its quota is reused only once the attempt is proved to have
 // ended.
 TEST_F(QuotaTest, ResultFromEarlierTermIsAppliedAtOnce) {
--- a/tests/record_page_test.cc
+++ b/tests/record_page_test.cc
@@ -8,8 +8,8 @@
 
 class RecordPageTest : public ClusterTest {};
 
-// Bindings took one write of the key-value store for each job: after the failure of many machines,
-// replicas of 400 services waited over 20 s at 19 writes per second.
+// In an earlier version, bindings took one write to the key-value store for each job: after the
+// failure of many machines, replicas of 400 services waited over 20 s at 19 writes per second.
 TEST_F(RecordPageTest, BindingsOfManyJobsTakeOneWrite) {
   constexpr int kJobs = 40;
   TestController& controller = AddController("n0");
@@ -60,7 +60,7 @@
 }
 
 // An unwritten binding must not become durable when its task's page is rewritten for other jobs:
-// its job may have been cancelled, and the write does not check that.
+// the task's job may have been cancelled, and the write does not check that.
 TEST_F(RecordPageTest, PageRewrittenForOtherJobsAddsNoBinding) {
   Scheduler::Options options = DefaultOptions();
   options.max_operations = 4;
@@ -70,9 +70,9 @@
   Settle(controller);
   Run(controller, MakeJob("j-1"));
   Settle(controller);
-  worker.EndAll(ExitReason::kError);  // the first attempt ends; its record still says bound
+  worker.EndAll(ExitReason::kError);  // the first attempt ends; its record still has the binding
   Heartbeat(controller, worker);
-  AdvanceTime(3);  // the machine is suspected for a moment after the failure
+  AdvanceTime(3);  // the machine is suspected for a short time after the task's failure
   Settle(controller);
   ASSERT_TRUE(worker.HasLiveTask(TaskOf("j-1"))) << "the second attempt is bound";
   worker.End(TaskOf("j-1"), ExitReason::kStopped);
--- a/tests/scheduler_test.cc
+++ b/tests/scheduler_test.cc
@@ -1,4 +1,4 @@
-// Placement, preemption and avoidance of faulty and slow machines by the scheduler.
+// Tests that the scheduler places and preempts tasks correctly and avoids faulty and slow machines.
 #include "test_cluster.h"
 
 namespace magpie::testing {
@@ -139,8 +139,9 @@
   EXPECT_EQ(other.LiveTaskCount(), 4U);
 }
 
-// A job that ran longer than its estimate had dozens of healthy machines cordoned, since three of
-// its tasks overran on each. A machine counts as slow only if the job runs faster on others.
+// In an earlier version, a job that ran longer than its estimate caused dozens of healthy machines
+// to be cordoned, since three of its tasks overran on each. A machine counts as slow only if the
+// job runs faster on others.
 TEST_F(SchedulerTest, LongJobCordonsMachineOnlyIfFasterOnOthers) {
   TestController& controller = AddController("n0");
   FakeWorker& one = AddWorker("m-1", "large");
--- a/tests/stale_heartbeat_test.cc
+++ b/tests/stale_heartbeat_test.cc
@@ -1,4 +1,5 @@
-// The first heartbeat that a new leader receives from a worker is a delayed copy of an old one.
+// Tests in which the first heartbeat that a new leader receives from a worker is a delayed copy of
+// an old one.
 #include <gtest/gtest.h>
 
 #include "test_cluster.h"
@@ -27,8 +28,9 @@
 };
 
 // The new leader first receives a copy of a heartbeat of an earlier agent epoch, then a heartbeat
-// of the current one. It took the change as proof that no command of an earlier leader could start
-// a task there, but a command of the previous leader for the current epoch was still in flight.
+// of the current one. In an earlier version, the new leader treated the new agent epoch as proof
+// that no command of an earlier leader could start a task on the machine, but a command of the
+// previous leader for the current agent epoch was still in flight.
 TEST_F(StaleHeartbeatTest, LaterAgentEpochDoesNotFenceCommandsOfEarlierLeader) {
   Begin();
   const magpie::Heartbeat heartbeat_of_epoch_1 = worker->Snapshot();
@@ -58,9 +60,9 @@
   EXPECT_EQ(CountLiveTasks(), 1U);
 }
 
-// An attempt ended and the worker forgot it, but the leader failed before the end was durable. The
-// next leader started the same attempt again. A third leader first receives a copy of the heartbeat
-// that lists the attempt as ended.
+// An attempt ends and the worker removes it on a forget command, but the leader fails before the
+// end is durable. The next leader starts the same attempt again. A third leader first receives a
+// copy of the heartbeat that lists the attempt as ended.
 TEST_F(StaleHeartbeatTest, EndFromEarlierTermIsIgnored) {
   Begin();
   Run(*old_leader, MakeJob("j-1"));
@@ -69,7 +71,7 @@
   worker->End({{"j-1"}, 0}, ExitReason::kStopped);
   magpie::Heartbeat heartbeat_with_end = worker->Snapshot();
   heartbeat_with_end.preemption_notice = Seconds{60};  // an ended task would be bound to m-2
-  // The leader unbinds the task in memory and tells the worker to forget it.
+  // The leader unbinds the task in memory and sends the worker a forget command.
   worker->Deliver(old_leader->core.OnHeartbeat(worker->Snapshot(), now));
   Heartbeat(*old_leader, *worker);
   ASSERT_EQ(worker->ReportedTaskCount(), 0U);
--- a/tests/test_cluster.h
+++ b/tests/test_cluster.h
@@ -52,7 +52,7 @@
     core.SetTypes(Types());
   }
 
-  // Tries to become the leader and loads the records. Returns whether it leads.
+  // Tries to become the leader and loads the records. Returns whether it is the leader.
   bool TakeOver(Instant now) {
     const auto& view = election.Step();
     if (!view.leadership) return false;
@@ -89,7 +89,7 @@
     const WriteOutcome outcome = writer_.Write(batch, leadership);
     if (outcome.status == WriteOutcome::Status::kWritten) {
       core.OnWriteCommitted(batch, outcome.revision, now);
-    } else if (outcome.deposed || outcome.stale) {  // like Controller: stops deciding
+    } else if (outcome.deposed || outcome.stale) {  // like Controller: no more decisions
       core.Stop();
     } else if (outcome.status == WriteOutcome::Status::kRejected) {
       for (const auto& job : outcome.reloaded)
@@ -99,7 +99,7 @@
     return outcome;
   }
 
-  // The job's state in the answer to a query, or the HTTP status of an error.
+  // Returns the job's state in the response to a query, or the HTTP status of an error.
   std::string State(const std::string& id) {
     const HttpResponse response = api.Query(id);
     return response.status == 200 ? Json::parse(response.body).at("mood").get<std::string>()
@@ -111,7 +111,7 @@
   std::string label_;
 
  public:
-  bool cancellations_acknowledged = true;  // by all peers
+  bool cancellations_acknowledged = true;  // whether all peers have acknowledged them
   LeaderElection election;
   records::Leadership leadership;
   Scheduler core;
@@ -174,8 +174,8 @@
     wall.value += seconds;
   }
 
-  // Executes cloud calls until there are none: lists return `listed`, releases are confirmed and
-  // provisioning is refused. Returns the calls.
+  // Executes cloud calls until there are none: list calls return `listed`, releases are confirmed
+  // and provisioning is refused. Returns the calls.
   std::vector<CloudCall> RunCloud(TestController& controller) {
     std::vector<CloudCall> calls;
     while (auto call = controller.core.NextCloudCall(now)) {
@@ -210,7 +210,7 @@
   std::list<TestController> controllers_;
   int restarts_ = 0;
   std::list<FakeWorker> workers_;
-  std::set<MachineId> unresponsive_workers_;  // send no heartbeats in Settle
+  std::set<MachineId> unresponsive_workers_;  // these send no heartbeats in Settle
   std::vector<ListedMachine> listed;
 };
 
