--- a/src/scheduling/cloud_coordinator.cc
+++ b/src/scheduling/cloud_coordinator.cc
@@ -16,12 +16,12 @@
   scale_outs_.clear();
   pending_scale_outs_.clear();
   pending_releases_.clear();
-  list_open_ = false;
-  list_seen_ = false;
+  list_in_flight_ = false;
+  list_received_ = false;
 }
 
 bool CloudCoordinator::MayScaleOut(Instant now) const {
-  return pending_scale_outs_.empty() && list_seen_ && now >= next_scale_out_;
+  return pending_scale_outs_.empty() && list_received_ && now >= next_scale_out_;
 }
 
 void CloudCoordinator::ScaleOut(const MachineKind& kind, std::uint32_t count) {
@@ -52,8 +52,8 @@
   while (!pending_releases_.empty() && release.release.size() < kMaxReleasedPerCall)
     release.release.push_back(pending_releases_.extract(pending_releases_.begin()).value());
   if (!release.release.empty()) return release;
-  if (!list_open_ && now >= next_list_) {
-    list_open_ = true;
+  if (!list_in_flight_ && now >= next_list_) {
+    list_in_flight_ = true;
     return CloudCall{};
   }
   return std::nullopt;
@@ -106,7 +106,8 @@
     if (state_.machines.Find(id) != nullptr) pending_releases_.insert(id);
 }
 
-// Called once the cloud has confirmed the release: no task runs or can start on the machine.
+// Called once the cloud has confirmed the release. From then on, no task runs on the machine and
+// none can start there.
 void CloudCoordinator::RemoveMachine(const MachineId& id, Instant now) {
   state_.machines.RecordReleased(id);
   state_.failure_attribution.Forget(id);
@@ -125,10 +126,10 @@
 }
 
 void CloudCoordinator::OnList(const std::vector<ListedMachine>& machines, Instant now) {
-  list_open_ = false;
+  list_in_flight_ = false;
   next_list_ = now + state_.options.list_interval;
   if (!state_.term.loaded) return;
-  if (!std::exchange(list_seen_, true)) state_.signals.MarkChanged();
+  if (!std::exchange(list_received_, true)) state_.signals.MarkChanged();
   for (const ListedMachine& listed : machines)
     if (!state_.machines.WasReleased(listed.id)) ApplyListed(listed, now);
 }
@@ -154,7 +155,7 @@
 }
 
 void CloudCoordinator::OnListFailed(Instant now) {
-  list_open_ = false;
+  list_in_flight_ = false;
   next_list_ = now + state_.options.list_interval;
 }
 
--- a/src/scheduling/cloud_coordinator.h
+++ b/src/scheduling/cloud_coordinator.h
@@ -22,7 +22,8 @@
 
 namespace magpie {
 
-// Decides on calls to the cloud and applies their results. Not thread-safe: used by one scheduler.
+// Decides on calls to the cloud and applies their results. Not thread-safe: it belongs to one
+// scheduler.
 class CloudCoordinator {
  public:
   // Both arguments must outlive this object.
@@ -67,8 +68,8 @@
   std::set<std::string> pending_scale_outs_;  // names of provisioning requests without a response
   Instant next_scale_out_;
   std::set<MachineId> pending_releases_;  // machines to release; the calls are not sent yet
-  bool list_open_ = false;                // a list request is in flight
-  bool list_seen_ = false;                // a list was received in this term
+  bool list_in_flight_ = false;           // a list request is in flight
+  bool list_received_ = false;            // a list was received in this term
   Instant next_list_;
 };
 
--- a/src/scheduling/cluster_capacity.h
+++ b/src/scheduling/cluster_capacity.h
@@ -13,7 +13,7 @@
 // The total capacity of the machines of one kind.
 struct KindCapacity {
   int machines = 0;
-  // Capacity not used by services, on those of the machines on which the plan may place tasks.
+  // Capacity not used by services. Counts only machines on which the plan may place tasks.
   Resources without_services;
 };
 
@@ -23,7 +23,7 @@
   // By priority: the time in which the running array tasks would complete if they used all of
   // array_cpus.
   std::array<Seconds, kPriorityCount> remaining_run_time{};
-  // CPUs not used by services, on the machines on which the plan may place tasks.
+  // CPUs not used by services. Counts only machines on which the plan may place tasks.
   double array_cpus = 0;
 };
 
--- a/src/scheduling/cluster_state.h
+++ b/src/scheduling/cluster_state.h
@@ -52,7 +52,7 @@
     tick_requested = true;
     next_inspection = {};
   }
-  // Records that a new full plan may differ from the last one.
+  // Records a change after which the next full plan may differ from the last one.
   void MarkChanged() { changed_since_plan = true; }
 
   bool tick_requested = false;
@@ -79,7 +79,7 @@
 class DecisionLog {
  public:
   explicit DecisionLog(bool enabled) : enabled_(enabled) {}
-  // Callers in hot loops check this first, to build no text that would be discarded.
+  // Callers in hot loops check this first, so that they do not build texts that are discarded.
   bool enabled() const { return enabled_; }
   void Add(std::string text) {
     if (enabled_) decisions_.push_back(std::move(text));
@@ -92,7 +92,7 @@
   std::vector<std::string> decisions_;
 };
 
-// Not thread-safe: used by one scheduler.
+// Not thread-safe: it belongs to one scheduler.
 struct ClusterState {
   ClusterState(SchedulerOptions scheduler_options, Autoscaler::Options autoscaler_options);
   // Not copyable: machines and jobs hold pointers into each other's tables.
@@ -102,7 +102,7 @@
   // Clears everything except learned run times, boot times, machine kinds, machine types, refused
   // scale-outs, decisions that are not logged yet and term.may_start.
   void Clear();
-  // Returns the machine. If it is not in the table, adds it with the term's first token.
+  // Returns the machine. If it is not in the table, adds it; commands to it first carry term.token.
   Machine& FindOrCreateMachine(const MachineId& id, Instant now);
   // Removes the job from all tables. None of its tasks may be assigned to a machine.
   void RemoveJob(Job& job);
--- a/src/scheduling/command_builder.cc
+++ b/src/scheduling/command_builder.cc
@@ -15,17 +15,17 @@
 std::vector<Command> CommandBuilder::CommandsFor(const Machine& machine) {
   std::vector<Command> commands;
   if (machine.releasing || !machine.up) return commands;
-  AddCommandsForReported(machine, commands);
+  AddCommandsForReportedTasks(machine, commands);
   if (machine.preemption_deadline) return commands;
   if (!state_.term.may_start && !IsDisabled(SafetyCheck::kJobsReadBeforeStart)) return commands;
-  AddRuns(machine, commands);
+  AddRunCommands(machine, commands);
   return commands;
 }
 
 // Adds stop commands for attempts that must not run on the machine, and forget commands for ended
 // attempts.
-void CommandBuilder::AddCommandsForReported(const Machine& machine,
-                                            std::vector<Command>& commands) const {
+void CommandBuilder::AddCommandsForReportedTasks(const Machine& machine,
+                                                 std::vector<Command>& commands) const {
   for (const TaskStatus& status : machine.reported_statuses) {
     if (IsFull(commands)) break;
     const Job* job = state_.jobs.FindFrom(machine, status.task.job);
@@ -48,7 +48,7 @@
   }
 }
 
-void CommandBuilder::AddRuns(const Machine& machine, std::vector<Command>& commands) {
+void CommandBuilder::AddRunCommands(const Machine& machine, std::vector<Command>& commands) {
   for (const HeldTask& held : machine.tasks) {
     if (IsFull(commands)) break;
     if (!IsReadyToRun(held)) continue;
--- a/src/scheduling/command_builder.h
+++ b/src/scheduling/command_builder.h
@@ -22,8 +22,8 @@
   std::vector<Command> CommandsFor(const Machine& machine);
 
  private:
-  void AddCommandsForReported(const Machine& machine, std::vector<Command>& commands) const;
-  void AddRuns(const Machine& machine, std::vector<Command>& commands);
+  void AddCommandsForReportedTasks(const Machine& machine, std::vector<Command>& commands) const;
+  void AddRunCommands(const Machine& machine, std::vector<Command>& commands);
   static bool IsReadyToRun(const HeldTask& held);
 
   ClusterState& state_;
--- a/src/scheduling/command_dispatcher.h
+++ b/src/scheduling/command_dispatcher.h
@@ -18,7 +18,7 @@
 
 namespace magpie {
 
-// Not thread-safe: used by one scheduler.
+// Not thread-safe: it belongs to one scheduler.
 class CommandDispatcher {
  public:
   // All arguments must outlive this object.
--- a/src/scheduling/command_queue.h
+++ b/src/scheduling/command_queue.h
@@ -12,7 +12,7 @@
 
 namespace magpie {
 
-// Not thread-safe: used by one scheduler.
+// Not thread-safe: it belongs to one scheduler.
 class CommandQueue {
  public:
   void Clear();
--- a/src/scheduling/fencing.h
+++ b/src/scheduling/fencing.h
@@ -5,9 +5,9 @@
 //
 //  - A worker rejects commands with a token below the highest one that it has seen. Machine::token
 //    is the token that commands carry; Machine::seen_token is the highest token that the worker is
-//    known to have seen; Machine::fencing_token is above the tokens of all direct commands that the
-//    worker may have received without a response to the leader. Once seen_token >= fencing_token,
-//    none of these can still be executed.
+//    known to have seen. Machine::fencing_token is above the tokens of all commands of earlier
+//    leaders, and of this leader's direct commands with DeliveryStatus::kUnknown to the current
+//    agent epoch. Once seen_token >= fencing_token, the worker rejects all of these.
 //  - So a message that does not list a task proves the task's absence only if
 //    seen_token >= fencing_token and no direct command is in flight. The response to a direct
 //    command does not prove it while a heartbeat response with a `run` command is in flight. The
--- a/src/scheduling/heartbeat_index.h
+++ b/src/scheduling/heartbeat_index.h
@@ -15,7 +15,7 @@
 
 namespace magpie {
 
-// Not thread-safe: used by one scheduler.
+// Not thread-safe: it belongs to one scheduler.
 class HeartbeatIndex {
  public:
   struct Zone {
--- a/src/scheduling/heartbeat_processor.h
+++ b/src/scheduling/heartbeat_processor.h
@@ -21,7 +21,7 @@
 
 namespace magpie {
 
-// Not thread-safe: used by one scheduler.
+// Not thread-safe: it belongs to one scheduler.
 class HeartbeatProcessor {
  public:
   // All arguments must outlive this object.
--- a/src/scheduling/job_table.h
+++ b/src/scheduling/job_table.h
@@ -21,7 +21,7 @@
 
 namespace magpie {
 
-// Not thread-safe: used by one scheduler.
+// Not thread-safe: it belongs to one scheduler.
 class JobTable {
  public:
   using Jobs = std::map<JobId, std::unique_ptr<Job>>;
--- a/src/scheduling/machine_table.h
+++ b/src/scheduling/machine_table.h
@@ -22,7 +22,7 @@
 
 namespace magpie {
 
-// Not thread-safe: used by one scheduler.
+// Not thread-safe: it belongs to one scheduler.
 class MachineTable {
  public:
   using Machines = std::map<MachineId, std::unique_ptr<Machine>>;
--- a/src/scheduling/quota_ledger.h
+++ b/src/scheduling/quota_ledger.h
@@ -18,7 +18,7 @@
 // Resources by team name.
 using TeamUsage = std::map<std::string, Resources>;
 
-// Not thread-safe: used by one scheduler.
+// Not thread-safe: it belongs to one scheduler.
 class QuotaLedger {
  public:
   // `teams` must outlive the ledger.
--- a/src/scheduling/record_loader.h
+++ b/src/scheduling/record_loader.h
@@ -18,7 +18,7 @@
 
 namespace magpie {
 
-// Not thread-safe: used by one scheduler.
+// Not thread-safe: it belongs to one scheduler.
 class RecordLoader {
  public:
   // Both arguments must outlive this object.
--- a/src/scheduling/record_writer.h
+++ b/src/scheduling/record_writer.h
@@ -14,7 +14,7 @@
 
 namespace magpie {
 
-// Not thread-safe: used by one scheduler.
+// Not thread-safe: it belongs to one scheduler.
 class RecordWriter {
  public:
   // Both arguments must outlive this object.
--- a/src/scheduling/scheduler_status.h
+++ b/src/scheduling/scheduler_status.h
@@ -14,7 +14,7 @@
 struct ClusterState;
 struct Job;
 
-// Numbers of a job's tasks.
+// The number of a job's tasks that are done and of those that run.
 struct JobProgress {
   std::uint32_t done = 0;
   std::uint32_t running = 0;
--- a/src/scheduling/task_status_processor.h
+++ b/src/scheduling/task_status_processor.h
@@ -17,7 +17,7 @@
 
 namespace magpie {
 
-// Not thread-safe: used by one scheduler.
+// Not thread-safe: it belongs to one scheduler.
 class TaskStatusProcessor {
  public:
   // All arguments must outlive this object.
--- a/src/scheduling/write_batch_builder.cc
+++ b/src/scheduling/write_batch_builder.cc
@@ -75,7 +75,7 @@
 // Adds the page with the fewest records to keep; returns false if the batch has no space for a
 // page.
 bool WriteBatchBuilder::AddPage() {
-  constexpr std::size_t kMaxKeptDivisor = 4;  // kept records take at most 1/4 of a page
+  constexpr std::size_t kMaxKeptDivisor = 4;  // a page is rewritten if kept records take up to 1/4
   const std::size_t max_page_bytes = state_.options.max_page_bytes;
   if (!HasSpaceFor(1, 2)) return false;
   if (!batch_.puts.empty() && bytes_left_ < max_page_bytes) return false;
--- a/src/scheduling/write_batch_builder.h
+++ b/src/scheduling/write_batch_builder.h
@@ -12,7 +12,7 @@
 
 namespace magpie {
 
-// Builds one batch; not reusable. Not thread-safe: used by one scheduler.
+// Builds one batch; not reusable. Not thread-safe: it belongs to one scheduler.
 class WriteBatchBuilder {
  public:
   // `state` must outlive the builder.
--- a/tests/scheduler_test.cc
+++ b/tests/scheduler_test.cc
@@ -325,7 +325,8 @@
                                              {false, 16, 16, true, {5}, {20}}};
   EXPECT_EQ(ChooseOption(options, {60}, weights), 0U);
   EXPECT_EQ(ChooseOption(options, {40}, weights), 1U) << "no slack on the small machine";
-  EXPECT_EQ(ChooseOption(options, {1}, weights), 1U) << "late on both: the earliest end";
+  EXPECT_EQ(ChooseOption(options, {1}, weights), 1U)
+      << "the deadline is missed on both machines: the earliest end";
   EXPECT_EQ(ChooseOption({}, {60}, weights), std::nullopt);
 }
 
--- a/tests/stale_heartbeat_test.cc
+++ b/tests/stale_heartbeat_test.cc
@@ -91,7 +91,7 @@
     AdvanceTime(3);
   }
   EXPECT_EQ(CountLiveTasks(), 1U);
-  // An end in the leader's own term is applied, and the task is started again.
+  // If an attempt ends in the leader's own term, the end is applied and the task is started again.
   Settle(third);
   worker->End({{"j-1"}, 0}, ExitReason::kError);
   for (int i = 0; i < 4; ++i) {
