--- a/src/scheduling/heartbeat_processor.cc
+++ b/src/scheduling/heartbeat_processor.cc
@@ -42,7 +42,8 @@
     CountOutOfOrder(machine, heartbeat);
     return response;
   }
-  // The worker sends a heartbeat only after it has received the last response or timed out.
+  // The worker sends a heartbeat only after it has received the last response or its request has
+  // timed out.
   machine.response_in_flight = false;
   Apply(machine, heartbeat, MessageSource::kHeartbeat, now);
   response.commands = command_builder_.CommandsFor(machine);
--- a/src/scheduling/scheduler.h
+++ b/src/scheduling/scheduler.h
@@ -109,7 +109,8 @@
   std::optional<DirectCommand> NextDirectCommand(Instant now) { return dispatcher_.Next(now); }
   // The number of machines with pending commands.
   std::size_t machines_awaiting_commands() const { return state_.commands.size(); }
-  // Returns the next probe: a direct command without commands to a machine with late heartbeats.
+  // Returns the next probe: a direct command without commands, to a machine without a recent
+  // heartbeat or with an outdated token, relayed heartbeats or messages out of order.
   std::optional<DirectCommand> NextProbe(Instant now) { return probes_.Next(now); }
   // Selects machines to probe if the scan interval has passed. Returns the number of machines that
   // wait for a probe.
--- a/src/scheduling/task_status_processor.cc
+++ b/src/scheduling/task_status_processor.cc
@@ -74,10 +74,10 @@
   const std::uint32_t index = status.task.index;
   const Task& task = job.tasks[index];
   if (task.state == TaskPhase::kEnding) return;
-  // The end may be from before this term, and the attempt may be running again. A result remains
-  // valid, but its quota must not be reused while the attempt may run. So the task stays bound
-  // until the worker, having seen this term's token, repeats the result, usually in its next
-  // message, or until the attempt is proved to have ended in another way.
+  // The message may be from before this term, and the attempt may be running again. A result
+  // remains valid, but the attempt's quota must not be reused while the attempt may run. So the
+  // task stays bound until the worker has seen this term's token and repeats the result, usually in
+  // its next message, or until the attempt is proved to have ended in another way.
   if (machine.seen_token < state_.term.token && !IsDisabled(SafetyCheck::kEndBeforeThisEpoch)) {
     if (status.reason == ExitReason::kDone && task.state == TaskPhase::kBound && !job.cancelled)
       lifecycle_.SetResultUnconfirmed(job, index);
--- a/src/scheduling/write_batch_builder.cc
+++ b/src/scheduling/write_batch_builder.cc
@@ -75,7 +75,8 @@
 // Adds the page with the fewest records to keep; returns false if the batch has no space for a
 // page.
 bool WriteBatchBuilder::AddPage() {
-  constexpr std::size_t kMaxKeptDivisor = 4;  // a page is rewritten if kept records take up to 1/4
+  // A page may be rewritten if the records that it must keep take at most 1/4 of it.
+  constexpr std::size_t kMaxKeptDivisor = 4;
   const std::size_t max_page_bytes = state_.options.max_page_bytes;
   if (!HasSpaceFor(1, 2)) return false;
   if (!batch_.puts.empty() && bytes_left_ < max_page_bytes) return false;
