--- a/src/admission/submission_batcher.cc
+++ b/src/admission/submission_batcher.cc
@@ -38,7 +38,8 @@
   submission.status = status;
 }
 
-// Estimates when the queued submissions are written at the current rate, with jitter.
+// The time after which a refused client may retry: the estimated time to write the queued
+// submissions at the current rate, with jitter.
 Seconds SubmissionBatcher::RetryAfter() {
   const Seconds queue_time =
       rate_limiter_.WaitTime(static_cast<double>(queue_.size() + 1), hooks_.now());
@@ -133,10 +134,10 @@
   return result;
 }
 
-// Checks whether the jobs of an unanswered transaction are durable. A job that is present already
-// exists, whichever controller wrote it. An absent job is inconclusive, because the transaction may
-// still be committed; it is submitted again under the same conditions. The transaction is atomic,
-// so reading stops at the first absent job.
+// Checks whether the jobs of an unanswered transaction are durable. A job with a record is reported
+// as already existing, whichever controller wrote the record. A job without one is submitted again
+// under the same conditions, because the transaction may still be committed. The transaction is
+// atomic, so reading stops at the first job without a record.
 void SubmissionBatcher::ReadBack(const Batch& batch, BatchResult& result) {
   for (const Submission* submission : batch) {
     const GetResult got = store_.Get(records::JobKey(submission->id));
--- a/src/admission/submission_batcher.h
+++ b/src/admission/submission_batcher.h
@@ -18,8 +18,9 @@
 
 namespace magpie {
 
-// A job is accepted only by a transaction that found neither its record nor its final record. A
-// submission that cannot be written soon is refused at once, with the time after which to retry.
+// A job is accepted only by a transaction whose conditions require that the job has no record and
+// no final record. A submission that cannot be written soon is refused at once, with the time after
+// which to retry.
 //
 // Submitting threads share a queue; one of them commits batches on behalf of all. Thread safe. The
 // mutex is not held across I/O.
@@ -29,11 +30,11 @@
     kAccepted,
     kAlreadyExists,  // the job has a record or a final record
     kMalformed,      // the key-value store rejects its record as malformed
-    kUnavailable,    // not accepted; the caller may retry
+    kUnavailable,    // not known to be accepted; the caller may retry
   };
   struct Result {
     Status status = Status::kUnavailable;
-    Seconds retry_after;  // with kUnavailable
+    Seconds retry_after;  // set with kUnavailable
   };
   struct Options {
     std::size_t max_jobs = 16;  // in one transaction
@@ -48,20 +49,21 @@
 
   SubmissionBatcher(KeyValueStore& store, Options options, Hooks hooks);
 
-  // Blocks until the job is durable, malformed, or known not to become durable soon.
+  // Blocks until the job is durable, rejected as malformed, or not expected to be durable soon.
   Result Submit(const JobSpec& spec);
-  // Counts a change that the caller writes directly against the same rate limit.
+  // Charges the rate limit for one change that the caller writes itself.
   void Charge();
 
  private:
-  // A queued submission. Owned by its thread, which stays in Submit() until it is completed.
+  // A queued submission, owned by the thread that submits it. The thread stays in Submit() until
+  // the submission is completed.
   struct Submission {
     Submission(const JobSpec& spec, Instant deadline);
     Submission(const Submission&) = delete;
     Submission& operator=(const Submission&) = delete;
     JobId id;
     Json record;
-    std::size_t bytes;  // upper bound on what it adds to a transaction
+    std::size_t bytes;  // upper bound on the bytes that it adds to a transaction
     Instant deadline;   // after which it is not retried
     int attempts = 0;   // transactions that it was part of
     // Set after a batch with this submission failed and it is unknown which job was the cause.
--- a/src/cancellation/cancellation_broadcaster.h
+++ b/src/cancellation/cancellation_broadcaster.h
@@ -18,9 +18,10 @@
 //  (b) when the job is final, so that none of its tasks is on a machine or can start.
 // CancellationRegistry explains why this suffices.
 //
-// Unresponsive peers do not delay the user: a peer that did not acknowledge its latest announcement
-// is asked last, and only after kPeerRetryInterval. No peer is asked once kBroadcastTimeout has
-// passed. The user is then answered by (b).
+// Unresponsive peers do not delay the user: a peer that did not acknowledge the latest announcement
+// sent to it gets the next one after all other peers, and only after kPeerRetryInterval. No
+// announcement is sent once kBroadcastTimeout has passed. The cancellation is then acknowledged
+// by (b).
 //
 // Thread safe.
 class CancellationBroadcaster {
--- a/src/cancellation/cancellation_registry.h
+++ b/src/cancellation/cancellation_registry.h
@@ -23,20 +23,21 @@
 //  - If it was acknowledged because the job is final, no task was left (CancellationBroadcaster).
 //  - Otherwise the cancellation was durable before each controller acknowledged it. Consider any
 //    process that renews a lease after that. Either this process acknowledged the cancellation and
-//    knows it, or an earlier process of the same controller did. In that case this process started
+//    keeps it, or an earlier process of the same controller did. In that case this process started
 //    when the cancellation was durable, so the jobs that it loaded include it. (Copying a peer's
 //    state instead of loading the jobs would not suffice: the peer may not yet have received the
 //    announcement when the earlier process acknowledged it.)
 //  - So every process that renews the lease sends a stop command. A worker without a response loses
 //    its lease, which counts from a heartbeat sent before the acknowledgement or moments after it.
-// The argument compares no clocks and limits no durations: a process keeps the cancellations that
-// it knows through an outage, a partition or a pause of any length.
+// The argument needs neither synchronized clocks nor a limit on durations: a process keeps its
+// recorded cancellations through an outage, a partition or a pause of any length.
 //
 // Messages in flight: a start command in a heartbeat response is dropped after 4 s. A delayed
 // direct command is fenced off by a later token, and every controller that renews leases raises the
 // token: a new leader has its own, the leader raises it after an unanswered command, and a follower
 // that renews leases in place of the leader raises it with each response. If `cancel_s` does not
-// cover a lease and these seconds, cancellations are acknowledged only when jobs are final.
+// cover a lease and the messages in flight, cancellations are acknowledged only when jobs are
+// final.
 //
 // Thread safe.
 class CancellationRegistry {
@@ -56,7 +57,8 @@
   // Records a peer's announcement. Returns whether it was recorded, which acknowledges it. Throws
   // protocol::InvalidMessage.
   bool RecordAnnouncement(const std::string& announcement);
-  // Records a cancellation that this controller made durable or that was announced to it.
+  // Records a cancellation that this controller made durable or that was announced to it. Returns
+  // whether it was recorded.
   bool Record(const JobCache::Cancellation& cancellation);
 
   // Adds stop commands for tasks of cancelled jobs to the leader's response and removes commands
--- a/src/election/leader_election.cc
+++ b/src/election/leader_election.cc
@@ -49,8 +49,8 @@
 }
 
 // The member key shows that this process is alive. The write replaces only the revision that was
-// read, so that a delayed write of an earlier process, or a repeat of this one, cannot restore a
-// key attached to another lease.
+// read, so that a delayed write of an earlier process, or a delayed copy of this write, cannot
+// restore a key attached to another lease.
 void LeaderElection::EnsureMemberKey(const std::vector<StoreEntry>& control) {
   const std::string key = records::MemberKey(label_);
   const StoreEntry* member = Find(control, key.c_str());
@@ -60,8 +60,8 @@
   if (store_.Commit(transaction).status == StoreStatus::kOk) published_lease_ = lease_;
 }
 
-// Conditional on the leader key held by this process, so that a delayed copy of this write cannot
-// depose a later leader.
+// The deletion is conditional on the leader key that this process holds, so that a delayed copy of
+// the transaction cannot depose a later leader.
 bool LeaderElection::Resign() {
   if (!view_.leadership) return true;
   const TransactionResult result =
@@ -70,8 +70,8 @@
   return result.status == StoreStatus::kOk || result.status == StoreStatus::kConflict;
 }
 
-// While the store is unreachable, the view stays as it is: a leader keeps leading, so that it
-// keeps renewing its workers' leases.
+// While the store is unreachable, the rest of the view does not change: a leader keeps leading, so
+// that it keeps renewing its workers' leases.
 const LeaderElection::View& LeaderElection::Step(bool may_campaign) {
   view_.store_reachable = EnsureLease();
   if (!view_.store_reachable) return view_;
--- a/src/election/leader_election.h
+++ b/src/election/leader_election.h
@@ -13,7 +13,7 @@
 
 // One controller's participation in the election. The controller holds a lease of the store, and
 // its member key and, if it leads, the leader key are attached to that lease. The holder of the
-// leader key writes the epoch, from whose revision the fencing token is made.
+// leader key writes the epoch; the fencing token is made from the revision of the epoch.
 //
 // Not thread safe. Each call does a bounded amount of I/O.
 class LeaderElection {
@@ -31,7 +31,7 @@
   // Renews the lease and reads the control keys; campaigns if there is no leader and `may_campaign`
   // is set. To be called about once a second and whenever the control keys change.
   const View& Step(bool may_campaign = true);
-  // Deletes the leader key, so that another controller need not wait for the lease to expire.
+  // Deletes the leader key, so that other controllers do not wait for the lease to expire.
   // Returns false if it is unknown whether the deletion was carried out.
   bool Resign();
   const View& view() const { return view_; }
--- a/src/election/leader_health.h
+++ b/src/election/leader_health.h
@@ -13,7 +13,7 @@
 // A leader that receives heartbeats only through relays, and none directly, should resign. It then
 // does not campaign for an interval that doubles each time, unless no other controller takes the
 // leadership. So if all controllers are cut off from the workers, the leadership passes once
-// through all of them and then stays.
+// through all of them and then stays with one of them.
 //
 // Missing heartbeats alone are no reason to resign: without relayed heartbeats, no other controller
 // is known to reach more workers.
@@ -25,7 +25,8 @@
 
   // This controller was elected.
   void OnElected(Instant now);
-  // A worker sent a heartbeat to this controller directly, or answered its request.
+  // A worker sent a heartbeat to this controller directly, or answered a request of this
+  // controller.
   void OnDirectContact(Instant now);
   // A peer relayed a heartbeat of this machine.
   void OnRelayedHeartbeat(const MachineId& machine, Instant now);
--- a/src/failover/failover_timeline.h
+++ b/src/failover/failover_timeline.h
@@ -23,7 +23,7 @@
     kFirstCommand,    // the first command is sent to a worker
     kHalfReconciled,  // 50% of the machines with recorded tasks are reconciled
     kMostReconciled,  // 99% of these machines are reconciled
-    kSettled,         // kMostReconciled holds, and no command or write is pending
+    kSettled,         // kMostReconciled is reached, and no command or write is pending
   };
   static constexpr std::size_t kSteps = 7;
   static const char* NameOf(Step step);
--- a/src/failure_attribution/failure_attribution.cc
+++ b/src/failure_attribution/failure_attribution.cc
@@ -17,7 +17,7 @@
 // failure, plus a margin.
 constexpr double kRunsWellFactor = 3;
 constexpr Seconds kRunsWellMargin{5};
-constexpr std::uint64_t kSuspiciousAttempts = 4;  // of one task, none completed
+constexpr std::uint64_t kSuspiciousAttempts = 4;  // of one task of a job without completed tasks
 
 Seconds ExponentialDelay(Seconds initial, std::uint32_t doublings, Seconds maximum) {
   constexpr std::uint32_t kMaxDoublings = 10;
@@ -86,7 +86,8 @@
   return {{}, {machine}};
 }
 
-// Reports the machines on which the job failed, and no task has completed since, as faulty.
+// Reports as faulty the machines on which the job failed and no task has completed since, except
+// `machine`, on which the job has run well.
 FailureAttribution::Verdict FailureAttribution::MarkRanWell(JobSerial job,
                                                             const MachineId& machine) {
   JobState& state = jobs_[job];
--- a/src/failure_attribution/failure_attribution.h
+++ b/src/failure_attribution/failure_attribution.h
@@ -2,7 +2,7 @@
 //
 // Rules: Failures of a job that has run well anywhere are attributed to the machines. A job that
 // failed on several machines and never ran well is considered faulty: its failures no longer count
-// against the machines, and it is retried a few tasks at a time with growing pauses. Failures of
+// against the machines, and it is retried one task at a time with growing pauses. Failures of
 // several jobs on one machine, none of them known to be faulty, are attributed to the machine.
 // Until the evidence suffices, the machine is suspected and gets no new work for a limited time.
 //
@@ -66,9 +66,9 @@
     bool ran_well = false;                   // a task completed or ran for long on some machine
     std::uint32_t failures = 0;              // since a task last ran well
     std::uint32_t failed_machine_count = 0;  // number of machines on which it failed since then
-    std::vector<MachineId> failed_machines;  // of these, without a completed task since
+    std::vector<MachineId> failed_machines;  // those on which no task has completed since
     Seconds longest_failed_run;              // the longest run time of a failed task
-    std::uint32_t retry_rounds = 0;          // of retries since the job is considered faulty
+    std::uint32_t retry_rounds = 0;          // since the job has been considered faulty
     Instant not_before;
     std::uint32_t max_tasks_after_takeover = kUnlimited;  // limit of concurrent tasks
   };
--- a/src/kv/answer_timeout.cc
+++ b/src/kv/answer_timeout.cc
@@ -5,8 +5,8 @@
 
 namespace magpie {
 namespace {
-constexpr std::size_t kMinSamples = 8;   // fewer latencies are not used
-constexpr int kToleratedUnanswered = 2;  // consecutive
+constexpr std::size_t kMinSamples = 8;   // with fewer latencies, the timeout is options_.maximum
+constexpr int kToleratedUnanswered = 2;  // consecutive transactions without a longer timeout
 constexpr int kMaxDoublings = 10;        // options_.maximum is reached with fewer
 // The timeout is rounded up to a multiple of this: an unchanged socket timeout saves a system call.
 constexpr Seconds kTimeoutStep{0.01};
--- a/src/kv/http_key_value_store.cc
+++ b/src/kv/http_key_value_store.cc
@@ -11,7 +11,8 @@
 constexpr Seconds kConnectTimeout{1};
 constexpr Seconds kWatchTimeoutMargin{5};  // added to the time for which a watch blocks
 
-// The status of a call whose response has no status code specific to the request.
+// The outcome of a call. Callers first handle the status codes with a meaning specific to the
+// request.
 StoreStatus StatusOf(const HttpAnswer& answer) {
   if (!answer.sent) return StoreStatus::kRefused;
   if (!answer.answered) return StoreStatus::kUnknown;
@@ -44,7 +45,7 @@
     fill(Json::parse(answer.body), result);
     result.status = StoreStatus::kOk;
   } catch (const Json::exception& error) {
-    spdlog::error("key-value store response malformed error={}", error.what());
+    spdlog::error("key-value store response rejected error=\"{}\"", error.what());
     result = Result{};
     result.status = StoreStatus::kUnknown;
   }
--- a/src/kv/http_key_value_store.h
+++ b/src/kv/http_key_value_store.h
@@ -9,8 +9,9 @@
 
 namespace magpie {
 
-// Reads and lease requests use `timeout`. Transactions use a timeout derived from measured
-// latencies, at most `timeout` (kv/answer_timeout.h). Thread-safe.
+// Reads and lease requests use `timeout`; a watch that blocks may take longer than it blocks by a
+// margin. Transactions use a timeout derived from measured latencies, at most `timeout`
+// (kv/answer_timeout.h). Thread-safe.
 class HttpKeyValueStore : public KeyValueStore {
  public:
   HttpKeyValueStore(const Address& address, Seconds timeout);
@@ -24,7 +25,8 @@
   WatchResult Watch(const std::string& prefix, Revision after, Seconds block) override;
 
  private:
-  // For reads that the store answers without blocking: records the latency in answer_timeout_.
+  // Sends a read that the store answers without blocking, and records the latency of the response
+  // in answer_timeout_.
   HttpAnswer GetAndMeasure(const std::string& path);
 
   HttpClient client_;
--- a/src/kv/key_value_store.h
+++ b/src/kv/key_value_store.h
@@ -65,7 +65,7 @@
 struct RangeResult {
   StoreStatus status = StoreStatus::kUnknown;
   std::vector<StoreEntry> entries;
-  bool more = false;  // keys follow after the last entry
+  bool more = false;  // further keys follow the last entry
   Revision revision;  // of the store at the time of the read
 };
 
@@ -112,7 +112,7 @@
   virtual LeaseResult Grant(Seconds time_to_live) = 0;
   // kInvalid: the lease has ended.
   virtual StoreStatus KeepAlive(LeaseId lease) = 0;
-  // Waits for up to `block` for changes with the prefix after the revision `after`.
+  // Waits for up to `block` for changes after the revision `after` of keys with the prefix.
   virtual WatchResult Watch(const std::string& prefix, Revision after, Seconds block) = 0;
 };
 
--- a/src/overload/overload_policy.cc
+++ b/src/overload/overload_policy.cc
@@ -48,8 +48,8 @@
     auto operator<=>(const PlannedJob&) const = default;
   };
 
-  // Adds a candidate for the job's first target, starting with `target`, whose latest start is not
-  // before `from`. Earlier candidates are already planned and are not reconsidered.
+  // Adds a candidate for the job's first target from index `target` on that has a latest start not
+  // before `from`. Candidates with an earlier latest start are not reconsidered.
   void AddCandidate(std::size_t job, std::size_t target, Seconds from) {
     const WaitingWork& waiting = jobs_[job];
     for (; target < waiting.targets.size(); ++target) {
--- a/src/provisioning/autoscaler.cc
+++ b/src/provisioning/autoscaler.cc
@@ -36,7 +36,8 @@
   const auto count = machines_by_kind.find(kind);
   const int machines = count == machines_by_kind.end() ? 0 : count->second;
   const Seconds elapsed = now - refusal->second.at;
-  // The machines held at the refusal were all that the cloud had. With fewer, some may be free.
+  // At the refusal, the cluster had all machines of the kind that the cloud could provide. If it
+  // has fewer now, the cloud may have some again.
   return elapsed > options_.provision_retry_delay ||
          (machines < refusal->second.machine_count && elapsed > kMinRetryInterval);
 }
--- a/src/provisioning/autoscaler.h
+++ b/src/provisioning/autoscaler.h
@@ -39,8 +39,8 @@
   struct Options {
     Seconds provision_retry_delay{90};  // after which a refused kind may be requested again
     std::uint32_t max_per_request = 8;
-    // Work that is not `required` gets no machine whose price per task exceeds the cheapest one by
-    // more than this factor.
+    // Work that is not `required` gets no machine with a price per task above this factor times the
+    // lowest one.
     double max_price_ratio = 4;
   };
 
--- a/src/rate_limit/adaptive_rate_limiter.h
+++ b/src/rate_limit/adaptive_rate_limiter.h
@@ -1,13 +1,13 @@
-// Limits the rate of calls to a service shared by several controllers, none of which knows how many
-// share it: additive increase while calls wait, multiplicative decrease when a call is refused.
+// Limits the rate of calls to a service that an unknown number of controllers share: additive
+// increase while calls wait, multiplicative decrease when a call is refused.
 #pragma once
 
 #include "model/time.h"
 
 namespace magpie {
 
-// A token bucket with a capacity of one second of calls, whose rate adapts to refusals. The caller
-// passes the time and sleeps. Not thread-safe.
+// A token bucket with a capacity of one second of calls and a rate that adapts to refusals. The
+// caller passes the time and sleeps. Not thread-safe.
 class AdaptiveRateLimiter {
  public:
   struct Options {
@@ -15,7 +15,7 @@
     double initial = 0.1;         // initial and idle rate, as a fraction of `maximum`
     double minimum = 0.01;        // lowest rate, as a fraction of `maximum`
     double growth = 0.12;         // increase per second of waiting, as a fraction of `maximum`
-    Seconds refusal_window{0.5};  // after a decrease, during which refusals cause no further one
+    Seconds refusal_window{0.5};  // after a decrease, when refusals do not lower the rate
   };
 
   explicit AdaptiveRateLimiter(Options options);
@@ -39,7 +39,7 @@
 
   Options options_;
   double rate_;
-  double tokens_;  // negative after calls beyond the capacity or by AcquireNow()
+  double tokens_;  // may be negative after a cost above the capacity or AcquireNow()
   Instant last_refill_;
   bool started_ = false;
   bool waited_since_refill_ = false;
--- a/src/records/job_cache.cc
+++ b/src/records/job_cache.cc
@@ -87,7 +87,8 @@
 
 // Called by one thread at a time. The copy is changed only under the mutex.
 bool JobCache::ReadStore() {
-  constexpr int kMaxAttempts = 2;  // the second one reads all jobs, if the copy was too old
+  constexpr int kMaxAttempts =
+      2;  // the second one reads all jobs, if the copy was too old to be updated by a watch
   Revision revision;
   {
     std::scoped_lock lock(mutex_);
--- a/src/records/job_cache.h
+++ b/src/records/job_cache.h
@@ -83,7 +83,8 @@
   Revision revision_;             // of the copy; 0: all jobs must be read again
   LiveJobs jobs_;
   bool loaded_ = false;
-  std::unordered_map<std::string, Revision> announced_cancellations_;  // not yet read
+  std::unordered_map<std::string, Revision>
+      announced_cancellations_;  // not yet read from the store
 };
 
 }  // namespace magpie
--- a/src/records/records.h
+++ b/src/records/records.h
@@ -35,9 +35,9 @@
 std::string ToKey(const RecordPageKey& key);
 std::optional<RecordPageKey> ParseRecordPageKey(const std::string& key);
 
-// An accepted job. A cancellation has two steps: first the job's tasks must stop (`stopping`). It
-// is acknowledged to users once every controller knows it (`cancelled`), or when the job is final.
-// See cancellation/cancellation_broadcaster.h.
+// An accepted job. A cancellation has two steps: first the job's tasks must stop (`stopping`). The
+// cancellation is acknowledged to users once every controller has recorded it (`cancelled`), or
+// when the job is final. See cancellation/cancellation_broadcaster.h.
 struct JobRecord {
   JobSpec spec;
   bool stopping = false;
@@ -75,8 +75,8 @@
 
 // Conditions that hold as long as the leadership lasts.
 std::vector<Condition> ConditionsOf(const Leadership& leadership);
-// Whether the failed keys include one of these conditions. The leadership is then lost permanently,
-// because revisions only grow.
+// Whether the failed keys include the key of one of these conditions. The leadership is then lost
+// permanently, because revisions only grow.
 bool ProvesDeposition(const std::vector<std::string>& failed);
 
 // The transaction that writes a batch under the condition of the given leadership.
--- a/src/records/write_batch_committer.cc
+++ b/src/records/write_batch_committer.cc
@@ -31,7 +31,7 @@
       case StoreStatus::kConflict:
         return AfterConflict(batch, leadership, result.failed, has_unanswered_attempt);
       case StoreStatus::kInvalid:
-        spdlog::error("key-value store rejected transaction as malformed; retrying");
+        spdlog::error("retry transaction reason=\"rejected as malformed by key-value store\"");
         hooks_.pause(kMaxBackoff);
         break;
       case StoreStatus::kUnknown:
@@ -39,7 +39,7 @@
         // Reading back uses no write operation, unlike another attempt.
         if (auto resolved = OutcomeOf(ResolveUnansweredAttempts(batch, leadership, false)))
           return *std::move(resolved);
-        WaitBeforeRetry();  // not carried out when it was read back
+        WaitBeforeRetry();  // the attempt had not been carried out when its keys were read
         break;
       case StoreStatus::kRefused:
         WaitBeforeRetry();
@@ -94,11 +94,12 @@
   return std::nullopt;
 }
 
-// Checks whether the batch's changes are present. A page at a later revision than the leader knows
-// proves the whole transaction, since only the leader writes pages, one transaction at a time. One
-// final record proves nothing: a delayed event may restore a job in memory that an earlier write
-// made final, and its record would be taken as proof that this transaction's bindings are durable.
-// So a batch without a page requires each of its final records to be present.
+// Checks whether the batch's changes are present. A page with the batch's contents at a later
+// revision than the batch expects proves that the whole transaction was carried out, since only the
+// leader writes pages, one transaction at a time. One final record proves nothing: a delayed event
+// may restore a job in memory that an earlier write made final, and its record would be taken as
+// proof that this transaction's bindings are durable. So a batch without a page requires each of
+// its final records to be present.
 WriteBatchCommitter::ReadBackResult WriteBatchCommitter::ReadChangedKeys(const WriteBatch& batch) {
   ReadBackResult read_back;
   const auto read_key = [&](const std::string& key, const std::optional<Json>& expected,
@@ -143,7 +144,7 @@
       WaitBeforeRetry();
       continue;
     }
-    // The next attempt is conditional on the leadership, so it is not checked here.
+    // The next attempt is conditional on the leadership, so the leadership is not checked here.
     if (!read_back.present && !conflicted) return {Status::kNotCarriedOut, {}};
     Transaction leadership_check{records::ConditionsOf(leadership), {}};
     leadership_check.conditions.push_back(read_back.key);
@@ -170,9 +171,9 @@
     try {
       jobs.push_back({records::JobFromJson(result.entry->value), result.entry->revision});
     } catch (const protocol::InvalidMessage& error) {
-      spdlog::error("job record malformed job={} error={}", job.value, error.what());
+      spdlog::error("job record skipped job={} error=\"{}\"", job.value, error.what());
     } catch (const Json::exception& error) {
-      spdlog::error("job record malformed job={} error={}", job.value, error.what());
+      spdlog::error("job record skipped job={} error=\"{}\"", job.value, error.what());
     }
   }
   return jobs;
--- a/src/records/write_batch_committer.h
+++ b/src/records/write_batch_committer.h
@@ -35,7 +35,7 @@
     records::JobRecord record;
     Revision revision;
   };
-  std::vector<Job> reloaded;  // after a rejection: the batch's jobs
+  std::vector<Job> reloaded;  // after a rejection: the records of the batch's jobs
 };
 
 // Not thread-safe.
--- a/tests/boot_time_test.cc
+++ b/tests/boot_time_test.cc
@@ -1,4 +1,4 @@
-// Machines that boot late, never, or within a second.
+// Machines that boot late, that never boot, and that boot within a second.
 #include "provisioning/boot_time_estimator.h"
 #include "test_cluster.h"
 
@@ -84,7 +84,7 @@
     Settle(node, 1);
     requests += HandleCloudCalls(node);
     if (i == 80) {
-      EXPECT_EQ(released, 0U) << "released before it was much too late";
+      EXPECT_EQ(released, 0U) << "released before it was late enough to be given up";
     }
     AdvanceTime(0.5);
   }
--- a/tests/cancellation_test.cc
+++ b/tests/cancellation_test.cc
@@ -22,7 +22,8 @@
     ASSERT_EQ(cluster.LiveTasks("j-1"), 3U);
     ASSERT_EQ(cluster.LiveTasks("j-2"), 3U);
   }
-  // The store refuses the leader, a peer accepts a cancellation, then the store is down for all.
+  // The store first refuses only the leader's calls while a peer accepts a cancellation. Then the
+  // store is down for all controllers.
   void RefuseLeaderThenStartOutage() {
     cluster.controllers.at(leader)->store.refused = true;
     cluster.AdvanceSeconds(2);
@@ -85,7 +86,7 @@
   cluster.partitions.clear();
   cluster.store.outage = false;
   EXPECT_NE(cluster.Poll("j-1", peers[1]), "withdrawn")
-      << "acknowledged before all controllers knew";
+      << "acknowledged before all controllers recorded it";
   RestoreAndExpectCancelled();
 }
 
@@ -141,8 +142,8 @@
 }
 
 // A controller crashes at each write of a cancellation. The first write may commit after the crash;
-// a controller that reads it acknowledges nothing before all controllers know. The second write is
-// never made before that.
+// a controller that reads it acknowledges the cancellation only after all controllers have recorded
+// it. The second write is made only after that, too.
 TEST_F(CancellationTest, ControllerCrashesAtEachWrite) {
   for (const auto fault :
        {FakeStore::Fault::kRefuse, FakeStore::Fault::kLoseResponse, FakeStore::Fault::kCommitLate})
@@ -185,7 +186,7 @@
 
 // A controller restarts after acknowledging a cancellation. It loads the cancellation, which was
 // durable before the acknowledgement, and renews no lease before the jobs are loaded.
-TEST_F(CancellationTest, RestartedControllerKnowsAcknowledgedCancellation) {
+TEST_F(CancellationTest, RestartedControllerLoadsAcknowledgedCancellation) {
   Begin();
   ASSERT_EQ(cluster.Cancel("j-1", peers[0]), "withdrawn");
   cluster.StopController(leader);
@@ -273,12 +274,12 @@
   magpie::Heartbeat heartbeat = cluster.machines.front().worker.Snapshot();
   const std::string body = protocol::HeartbeatToJson(heartbeat).dump();
   HttpResponse response = follower.heartbeat_handler.Handle(body, HeartbeatRoute::kDirect);
-  ASSERT_EQ(response.status, 200) << "the leader fails, and the follower is partitioned as well";
+  ASSERT_EQ(response.status, 200) << "the follower must respond in place of the unreachable leader";
   protocol::Json answer = protocol::Json::parse(response.body);
   EXPECT_GT(answer.at("crest").get<std::uint64_t>(), before.value);
   EXPECT_TRUE(answer.at("calls").empty());
-  // Once it has recorded a cancellation, its response has a stop command for each of the job's
-  // tasks.
+  // Once the follower has recorded a cancellation, its response has a stop command for each of the
+  // job's tasks.
   ASSERT_TRUE(follower.cancellations.Record(
       JobCache::Cancellation{{"j-1"}, {cluster.store.current_revision().value + 1}}));
   std::size_t listed = 0;
@@ -288,12 +289,12 @@
   ASSERT_EQ(response.status, 200);
   answer = protocol::Json::parse(response.body);
   EXPECT_EQ(answer.at("calls").size(), listed);
-  // A token that cannot be raised is not renewed.
+  // If the token cannot be raised, the lease is not renewed.
   heartbeat.token = {heartbeat.token.value | 0xffffU};
   EXPECT_FALSE(follower.cancellations.FollowerResponse(heartbeat));
 }
 
-// Guards against lost leases at the start of a partition: a follower that had not yet noticed that
+// Guards against lost leases at the start of a partition: a follower that had not yet detected that
 // the store was unreachable redirected workers, which then tried unreachable controllers one after
 // the other until their leases expired.
 TEST_F(CancellationTest, LeasesAreRenewedFromStartOfPartition) {
@@ -429,17 +430,17 @@
       << "already recorded";
 }
 
-// A peer that did not answer is not asked again with each repeated request. With a lease that may
-// outlast cancel_s, cancellations are acknowledged only when jobs are final.
-TEST(CancellationBroadcasterTest, AsksEachPeerAndBacksOff) {
+// A peer that did not acknowledge an announcement does not get another with each repeated request.
+// With a lease that may outlast cancel_s, cancellations are acknowledged only when jobs are final.
+TEST(CancellationBroadcasterTest, AnnouncesToEachPeerAndBacksOff) {
   Instant now{100};
   std::map<std::string, int> requests;
-  bool n2_answers = false;
+  bool n2_acknowledges = false;
   const auto hooks = [&] {
     return CancellationBroadcaster::Hooks{[&] { return now; },
                                           [&](const std::string& member, const JobId&, Revision) {
                                             ++requests[member];
-                                            return member == "n1" || n2_answers;
+                                            return member == "n1" || n2_acknowledges;
                                           },
                                           [](const JobId&, Revision) { return true; }};
   };
@@ -448,15 +449,15 @@
   EXPECT_FALSE(broadcaster.Broadcast({"j-1"}, {7}));
   EXPECT_EQ(requests["n1"], 2);
   EXPECT_EQ(requests["n2"], 1);
-  n2_answers = true;
+  n2_acknowledges = true;
   EXPECT_FALSE(broadcaster.Broadcast({"j-1"}, {7}))
-      << "n2 was not asked again, so it has not acknowledged";
+      << "n2 got no second announcement, so it has not acknowledged";
   now = now + Seconds{3};
   EXPECT_TRUE(broadcaster.Broadcast({"j-1"}, {7}));
   EXPECT_TRUE(broadcaster.Broadcast({"j-1"}, {7}));
   EXPECT_FALSE(CancellationBroadcaster({{"n1", "n2"}, true}, hooks()).Broadcast({"j-1"}, {7}));
-  // Unresponsive peers are asked last, and none after the broadcast timeout.
-  n2_answers = false;
+  // Unresponsive peers get the announcement last, and no peer gets it after the broadcast timeout.
+  n2_acknowledges = false;
   EXPECT_FALSE(broadcaster.Broadcast({"j-1"}, {7}));
   now = now + Seconds{3};
   std::vector<std::string> order;
--- a/tests/failover_timeline_test.cc
+++ b/tests/failover_timeline_test.cc
@@ -71,8 +71,8 @@
   EXPECT_EQ(CountLiveTasks(), 7U);
 }
 
-// Machines failed just before the leader did. The next leader knew them only from the records and
-// waited 2.5 heartbeat intervals, although they answered no probe.
+// Machines failed just before the leader did. The next leader loaded them from the records and
+// waited 2.5 heartbeat intervals for them, although they answered no probe.
 TEST_F(LeaderStartTest, ProbesDetectMachinesLostBeforeTakeover) {
   FillMachinesAndEndLease();
   TestController& node = AddController("n1");
--- a/tests/fake_key_value_store.h
+++ b/tests/fake_key_value_store.h
@@ -22,7 +22,7 @@
   };
   // The fault of the next commit; later commits succeed.
   Fault next_commit = Fault::kNone;
-  // Simulates a crash of the calling process in the commit after this many others: the call throws
+  // The number of commits before the one in which the calling process crashes: that call throws
   // Crashed, and `crash_fault` is the fault of the commit itself. Negative: no crash.
   struct Crashed {};
   int commits_until_crash = -1;
--- a/tests/faulty_store.h
+++ b/tests/faulty_store.h
@@ -1,5 +1,5 @@
 // One controller's connection to the key-value store, on which tests inject faults: refusals,
-// rate limiting, latency and lost answers.
+// rate limiting, latency and lost responses.
 #pragma once
 
 #include <functional>
@@ -31,7 +31,7 @@
   std::function<InjectedFault(bool write)> next_fault = [](bool) { return InjectedFault{}; };
   // Called with each transaction as it is sent, whether or not it is carried out.
   std::function<void(const Transaction&)> on_commit = [](const Transaction&) {};
-  std::map<std::uint64_t, Instant> renewed_leases;  // last renewal, by lease granted here
+  std::map<std::uint64_t, Instant> renewed_leases;  // last grant or renewal, by lease
 
   bool open() const { return !refused && !store_.outage; }
   GetResult Get(const std::string& key) override {
--- a/tests/late_write_test.cc
+++ b/tests/late_write_test.cc
@@ -51,7 +51,7 @@
 
 // The response to the deletion of an unused page is lost. The leader took the conflict of the retry
 // for a rejection, kept the page in memory with a revision that no key has, and chose it for the
-// next bindings, whose writes were then rejected forever.
+// next bindings. All writes of these were then rejected.
 TEST_F(LateWriteTest, UnansweredDeletionIsFoundCommitted) {
   for (const auto fault : {FakeStore::Fault::kLoseResponse, FakeStore::Fault::kCommitLate,
                            FakeStore::Fault::kRefuse}) {
@@ -90,7 +90,7 @@
 
 // A leader's transaction writes a final record and binds a task of another job. It does not arrive,
 // and the leader is partitioned. The next leader writes an identical final record. After the
-// partition, the old leader took this record for its own and started the task, which the next
+// partition, the old leader attributed this record to itself and started the task, which the next
 // leader had bound to another machine (found by days/limit-cut-thrissur.toml).
 TEST_F(LateWriteTest, OutcomeWrittenByNextLeaderIsNotAttributedToOldLeader) {
   const auto [old_leader, batch] = PrepareOutcomeAndBinding();
--- a/tests/leader_reload_test.cc
+++ b/tests/leader_reload_test.cc
@@ -1,4 +1,4 @@
-// A leader whose view of the records is wrong or incomplete reads them again and loses none.
+// A leader with a wrong or incomplete copy of the records reads all of them again and loses none.
 #include <gtest/gtest.h>
 
 #include "simulated_cluster.h"
@@ -6,7 +6,7 @@
 namespace magpie::testing {
 namespace {
 
-// Record pages change without the leader's knowledge: it detects this, reloads and keeps leading.
+// Another writer changes record pages: the leader detects this, reloads them and keeps leading.
 TEST(LeaderReloadTest, LeaderWithStaleStateReloads) {
   SimulatedCluster cluster;
   cluster.AdvanceSeconds(3);
--- a/tests/submission_batcher_test.cc
+++ b/tests/submission_batcher_test.cc
@@ -1,5 +1,5 @@
-// Concurrent submissions: many jobs share a transaction, none is lost or accepted twice whatever
-// happens to the responses, and none is delayed.
+// Concurrent submissions: many jobs share a transaction, none is delayed, and none is lost or
+// accepted twice, even if responses of the key-value store are late or lost.
 #include "admission/submission_batcher.h"
 
 #include <gtest/gtest.h>
@@ -73,7 +73,7 @@
       << "no submissions shared a transaction";
 }
 
-TEST_F(SubmissionBatcherTest, KnownJobIsNotAcceptedAgain) {
+TEST_F(SubmissionBatcherTest, ExistingJobIsNotAcceptedAgain) {
   SubmissionBatcher submissions(store, {}, Hooks());
   EXPECT_EQ(SubmitJob(submissions, "j-1").status, SubmissionBatcher::Status::kAccepted);
   EXPECT_EQ(SubmitJob(submissions, "j-1").status, SubmissionBatcher::Status::kAlreadyExists);
@@ -81,7 +81,7 @@
 }
 
 // A finished job has no job record, so its final record must be a condition too.
-TEST_F(SubmissionBatcherTest, FinishedJobIsKnown) {
+TEST_F(SubmissionBatcherTest, FinishedJobAlreadyExists) {
   store.Commit({{}, {{records::FinalKey({"j-1"}), Json{{"mood", "done"}}, std::nullopt}}});
   SubmissionBatcher submissions(store, {}, Hooks());
   EXPECT_EQ(SubmitJob(submissions, "j-1").status, SubmissionBatcher::Status::kAlreadyExists);
@@ -122,7 +122,7 @@
   SubmissionBatcher submissions(store, {.rate_limit = {.maximum = 10, .initial = 0.2}}, Hooks());
   EXPECT_EQ(SubmitJob(submissions, "j-1").status, SubmissionBatcher::Status::kAccepted);
   EXPECT_EQ(SubmitJob(submissions, "j-2").status, SubmissionBatcher::Status::kAccepted);
-  for (int i = 0; i < 5; ++i) submissions.Charge();  // as by cancellations, which are not delayed
+  for (int i = 0; i < 5; ++i) submissions.Charge();  // as for cancellations, which are not delayed
   const Instant begin = now;
   const SubmissionBatcher::Result result = SubmitJob(submissions, "j-3");
   EXPECT_EQ(result.status, SubmissionBatcher::Status::kUnavailable);
@@ -163,7 +163,7 @@
   EXPECT_GE(acquired, 25 * 10);
 }
 
-// Two controllers that do not know of each other share a service that accepts 30 calls per second.
+// Two controllers without contact to each other share a service that accepts 30 calls per second.
 TEST(AdaptiveRateLimiterTest, IndependentLimitersShareRate) {
   AdaptiveRateLimiter::Options options{
       .maximum = 30, .initial = 0.25, .minimum = 0.02, .growth = 0.03};
--- a/tests/takeover_test.cc
+++ b/tests/takeover_test.cc
@@ -23,7 +23,7 @@
   workers_.front().EndAll(ExitReason::kDone);
   Settle(new_leader);
   EXPECT_EQ(new_leader.State("j-1"), "done");
-  EXPECT_EQ(workers_.front().ReportedTaskCount(), 0U) << "the worker must forget recorded results";
+  EXPECT_EQ(workers_.front().ReportedTaskCount(), 0U) << "the worker must discard recorded results";
 }
 
 TEST_F(TakeoverTest, RunningTasksAreReconciled) {
@@ -44,7 +44,7 @@
   EXPECT_EQ(new_leader.State("j-1"), "done");
 }
 
-TEST_F(TakeoverTest, DeposedLeaderCanNeitherWriteNorCommand) {
+TEST_F(TakeoverTest, DeposedLeaderCannotWriteOrCommand) {
   TestController& old_leader = AddController("n0");
   FakeWorker& worker = AddWorker("m-1");
   ASSERT_TRUE(old_leader.TakeOver(now));
@@ -59,7 +59,7 @@
   ASSERT_TRUE(new_leader.TakeOver(now));
   EXPECT_TRUE(old_leader.Finish(batch, now).deposed);
 
-  Heartbeat(new_leader, worker);  // the worker learns the new token
+  Heartbeat(new_leader, worker);  // the worker receives the new token
   Heartbeat(new_leader, worker);
   EXPECT_FALSE(old_leader.core.OnHeartbeat(worker.Snapshot(), now).accepted)
       << "a deposed leader must not renew the lease of a worker with a later token";
@@ -82,7 +82,7 @@
   store.ExpireLeases();
   TestController& new_leader = AddController("n1");
   ASSERT_TRUE(new_leader.TakeOver(now));
-  Heartbeat(new_leader, worker);  // the worker learns the new token
+  Heartbeat(new_leader, worker);  // the worker receives the new token
   old_leader.core.OnCancelled({"j-2"}, Revision{store.Get("j/j-2").entry->revision.value + 1});
   EXPECT_FALSE(old_leader.core.NextDirectCommand(now)) << "a second command while one is pending";
   EXPECT_FALSE(worker.Take(*pending));
@@ -98,7 +98,7 @@
 }
 
 // A leader partitioned from the key-value store probed a worker that no longer sent it heartbeats,
-// adopted the later token from the answer, and started tasks concurrently with the new leader.
+// adopted the later token from the response, and started tasks concurrently with the new leader.
 TEST_F(TakeoverTest, DeposedLeaderDoesNotAdoptLaterToken) {
   TestController& old_leader = AddController("n0");
   FakeWorker& worker = AddWorker("m-1");
@@ -125,7 +125,7 @@
   FakeWorker& worker = AddWorker("m-1");
   ASSERT_TRUE(old_leader.TakeOver(now));
   Heartbeat(old_leader, worker);
-  worker.ExpireLease();  // so that the new leader does not know the session
+  worker.ExpireLease();  // now the worker has an agent epoch that the new leader has not received
   store.ExpireLeases();
   TestController& new_leader = AddController("n1");
   ASSERT_TRUE(new_leader.TakeOver(now));
@@ -134,7 +134,7 @@
   for (int i = 0; i < 2; ++i) {
     const auto probe = new_leader.core.NextProbe(now);
     ASSERT_TRUE(probe.has_value());
-    EXPECT_EQ(worker.Take(*probe), i == 1) << "the first answer contains the session";
+    EXPECT_EQ(worker.Take(*probe), i == 1) << "the first response contains the agent epoch";
     new_leader.core.OnDirectCommandResult(*probe, DeliveryStatus::kAnswered, worker.Snapshot(),
                                           now);
   }
