--- a/src/admission/submission_batcher.h
+++ b/src/admission/submission_batcher.h
@@ -40,7 +40,7 @@
     std::size_t max_jobs = 16;  // in one transaction
     std::size_t max_bytes = 48UL * 1024;
     Seconds max_wait{1};  // Submit() does not block much longer than this
-    AdaptiveRateLimiter::Options rate_limit{.maximum = 1e9};  // for the changes of all jobs
+    AdaptiveRateLimiter::Options rate_limit{.maximum = 1e9};  // limits the changes of all jobs
   };
   struct Hooks {
     std::function<Instant()> now;
@@ -64,8 +64,8 @@
     JobId id;
     Json record;
     std::size_t bytes;  // upper bound on the bytes that it adds to a transaction
-    Instant deadline;   // after which it is not retried
-    int attempts = 0;   // transactions that it was part of
+    Instant deadline;   // after this time, the submission is not retried
+    int attempts = 0;   // number of transactions that included the submission
     // Set after a batch with this submission failed and it is unknown which job was the cause.
     bool must_commit_alone = false;
     bool completed = false;
--- a/src/cancellation/cancellation_broadcaster.cc
+++ b/src/cancellation/cancellation_broadcaster.cc
@@ -6,12 +6,12 @@
 
 namespace magpie {
 namespace {
-constexpr Seconds kPeerRetryInterval{2};  // after a peer did not acknowledge
+constexpr Seconds kPeerRetryInterval{2};  // after an unacknowledged announcement
 constexpr Seconds kBroadcastTimeout{1.5};
 // Covers the messages in flight when a lease ends: a heartbeat response (4 s, counted from its
 // heartbeat), an unanswered direct command (4 s) and the heartbeat that follows it.
 constexpr Seconds kMaxMessageDelay{8};
-constexpr double kMaxClockDrift = 0.001;  // relative
+constexpr double kMaxClockDrift = 0.001;  // seconds per second
 }  // namespace
 
 bool CancellationBroadcaster::AllowsEarlyAcknowledgement(Seconds lease, Seconds cancel_limit) {
--- a/src/cancellation/cancellation_broadcaster.h
+++ b/src/cancellation/cancellation_broadcaster.h
@@ -58,7 +58,7 @@
   Options options_;
   Hooks hooks_;
   std::mutex mutex_;                              // guards last_failures_; not held across I/O
-  std::map<std::string, Instant> last_failures_;  // by peer; absent after an acknowledgement
+  std::map<std::string, Instant> last_failures_;  // by peer; erased by an acknowledgement
 };
 
 }  // namespace magpie
--- a/src/cancellation/cancellation_registry.cc
+++ b/src/cancellation/cancellation_registry.cc
@@ -52,7 +52,7 @@
   return Record(ParseAnnouncement(announcement));
 }
 
-// A cancellation that the full cache does not record is not acknowledged.
+// A full cache does not record the cancellation, so this controller does not acknowledge it.
 bool CancellationRegistry::Record(const JobCache::Cancellation& cancellation) {
   if (!cache_.RecordCancellation(cancellation)) return false;
   on_cancellation_(cancellation);
--- a/src/election/leader_election.cc
+++ b/src/election/leader_election.cc
@@ -8,7 +8,8 @@
 namespace {
 
 constexpr std::uint32_t kRangePageSize = 100;
-// One round reads the control keys; winning the leader key and writing its epoch each need another.
+// One round reads the control keys. Winning the leader key needs another round, and so does writing
+// its epoch.
 constexpr int kMaxRounds = 3;
 
 const StoreEntry* Find(const std::vector<StoreEntry>& entries, const char* key) {
--- a/src/election/leader_election.h
+++ b/src/election/leader_election.h
@@ -23,7 +23,7 @@
   LeaderElection(KeyValueStore& store, std::string label, std::string nonce, Seconds lease);
 
   struct View {
-    bool store_reachable = false;                   // by the latest step
+    bool store_reachable = false;                   // result of the latest step
     std::optional<records::Leadership> leadership;  // set if this controller leads
     std::string leader;                             // the leader's label; empty: no leader
     Revision epoch;                                 // the latest epoch that was read
@@ -52,7 +52,7 @@
   std::string nonce_;
   Seconds lease_duration_;
   std::optional<LeaseId> lease_;
-  std::optional<LeaseId> published_lease_;  // attached to the member key by its latest write
+  std::optional<LeaseId> published_lease_;  // the lease of the member key's latest write
   View view_;
 };
 
--- a/src/election/leader_health.h
+++ b/src/election/leader_health.h
@@ -46,7 +46,7 @@
   std::unordered_map<MachineId, Instant, IdHash> relayed_heartbeats_;
   Instant elected_at_;
   Instant no_campaign_until_;
-  Seconds no_campaign_interval_;  // the latest one, doubled at each resignation
+  Seconds no_campaign_interval_;  // latest interval; doubled at each resignation
 };
 
 }  // namespace magpie
--- a/src/failure_attribution/failure_attribution.cc
+++ b/src/failure_attribution/failure_attribution.cc
@@ -5,10 +5,10 @@
 
 namespace magpie {
 namespace {
-constexpr std::size_t kMinMachinesForFaultyJob = 3;   // machines on which the job failed
-constexpr std::size_t kMinJobsForFaultyMachine = 2;   // jobs that failed on the machine
-constexpr std::size_t kMaxTracked = 16;               // machines per job and jobs per machine
-constexpr std::uint32_t kMaxTasksOfSuspectedJob = 2;  // concurrent
+constexpr std::size_t kMinMachinesForFaultyJob = 3;  // machines on which the job failed
+constexpr std::size_t kMinJobsForFaultyMachine = 2;  // jobs that failed on the machine
+constexpr std::size_t kMaxTracked = 16;  // maximum of machines per job and of jobs per machine
+constexpr std::uint32_t kMaxTasksOfSuspectedJob = 2;  // concurrent tasks
 constexpr Seconds kInitialSuspicion{2};
 constexpr Seconds kMaxSuspicion{16};
 constexpr Seconds kInitialRetryPause{1};
--- a/src/kv/answer_timeout.cc
+++ b/src/kv/answer_timeout.cc
@@ -5,9 +5,10 @@
 
 namespace magpie {
 namespace {
-constexpr std::size_t kMinSamples = 8;   // with fewer latencies, the timeout is options_.maximum
-constexpr int kToleratedUnanswered = 2;  // consecutive transactions without a longer timeout
-constexpr int kMaxDoublings = 10;        // options_.maximum is reached with fewer
+constexpr std::size_t kMinSamples = 8;  // with fewer latencies, the timeout is options_.maximum
+// Consecutive unanswered transactions that do not raise the timeout.
+constexpr int kToleratedUnanswered = 2;
+constexpr int kMaxDoublings = 10;  // enough to reach options_.maximum
 // The timeout is rounded up to a multiple of this: an unchanged socket timeout saves a system call.
 constexpr Seconds kTimeoutStep{0.01};
 }  // namespace
--- a/src/kv/key_value_store.h
+++ b/src/kv/key_value_store.h
@@ -73,7 +73,7 @@
 struct TransactionResult {
   StoreStatus status = StoreStatus::kUnknown;
   Revision revision;                // of the changes
-  std::vector<std::string> failed;  // with kConflict: the keys whose conditions did not hold
+  std::vector<std::string> failed;  // with kConflict: the keys of the conditions that did not hold
   bool rate_limited = false;        // refused because of the rate limit (429), not an outage
 };
 
--- a/src/provisioning/autoscaler.h
+++ b/src/provisioning/autoscaler.h
@@ -25,7 +25,7 @@
   std::uint32_t tasks = 0;  // number of tasks that would share the machine and its price
   Seconds target;           // time from now by which the work should be done
   bool required = false;    // at any price: no other machine can run the work
-  std::function<Seconds(const MachineType&)> run_time;  // predicted, of one task
+  std::function<Seconds(const MachineType&)> run_time;  // predicted for one task
 };
 
 // Keeps the available machine types with their prices, and the kinds that the cloud refused
--- a/src/provisioning/boot_time_estimator.cc
+++ b/src/provisioning/boot_time_estimator.cc
@@ -10,16 +10,16 @@
 constexpr std::size_t kMinSamples = 3;   // with fewer, the nominal time is used
 constexpr Seconds kMaxSampleAge{150};
 constexpr Seconds kDefaultBootTime{60};
-constexpr double kMaxWaitRatio =
-    2;  // a sample is discarded if a machine waits this many times as long
-constexpr double kMinLateRatio =
-    2.5;  // least age of a late machine, as a multiple of the nominal boot time
-constexpr double kLateRatio =
-    1.6;  // age of a late machine, as a multiple of the boot time at kLateQuantile
+// A sample is discarded if a machine waits this many times as long.
+constexpr double kMaxWaitRatio = 2;
+// Minimum age of a late machine, as a multiple of the nominal boot time.
+constexpr double kMinLateRatio = 2.5;
+// Age of a late machine, as a multiple of the boot time at kLateQuantile.
+constexpr double kLateRatio = 1.6;
 constexpr double kLateQuantile = 0.9;
 constexpr double kMedian = 0.5;
-constexpr double kGiveUpRatio =
-    1.5;  // age of a machine to release, as a multiple of the age at which it is late
+// Age at which a machine is released, as a multiple of the age at which it is late.
+constexpr double kGiveUpRatio = 1.5;
 
 }  // namespace
 
--- a/src/provisioning/boot_time_estimator.h
+++ b/src/provisioning/boot_time_estimator.h
@@ -11,9 +11,9 @@
 
 // Predicts boot times by machine type from the nominal time and the latest boots.
 //
-// Policy: predictions use the boots of the last minutes; older ones are ignored. When a
-// machine has been booting for much longer than a recorded boot took, that record is discarded. By
-// the predictions, a booting machine first counts as future capacity, then as late, so that a
+// Policy: predictions use the boots of the last minutes; older ones are ignored. When a machine has
+// been booting for much longer than a recorded boot took, that record is discarded. By the
+// predictions, a booting machine first counts as future capacity, then as late, so that a
 // replacement is planned. Finally it is released, since a machine that never boots is charged until
 // its release.
 //
--- a/src/rate_limit/adaptive_rate_limiter.h
+++ b/src/rate_limit/adaptive_rate_limiter.h
@@ -39,7 +39,7 @@
 
   Options options_;
   double rate_;
-  double tokens_;  // may be negative after a cost above the capacity or AcquireNow()
+  double tokens_;  // negative after AcquireNow() or a cost above the capacity
   Instant last_refill_;
   bool started_ = false;
   bool waited_since_refill_ = false;
--- a/src/records/job_cache.cc
+++ b/src/records/job_cache.cc
@@ -110,7 +110,7 @@
   return false;
 }
 
-// Returns false if the copy was too old.
+// Returns false if the copy was too old to be updated by the watch.
 bool JobCache::ApplyWatch(const WatchResult& watch) {
   std::scoped_lock lock(mutex_);
   revision_ = watch.too_old ? Revision{} : watch.revision;
--- a/src/records/job_cache.h
+++ b/src/records/job_cache.h
@@ -78,7 +78,7 @@
   bool reading_ = false;             // one thread reads on behalf of all waiting callers
   std::uint64_t reads_started_ = 0;  // reads are numbered in the order of their start
   std::uint64_t last_ended_read_ = 0;
-  bool store_reachable_ = false;  // by the latest completed read
+  bool store_reachable_ = false;  // whether the latest completed read succeeded
   Instant next_read_;             // earliest start of the next read
   Revision revision_;             // of the copy; 0: all jobs must be read again
   LiveJobs jobs_;
--- a/src/records/write_batch_committer.h
+++ b/src/records/write_batch_committer.h
@@ -42,7 +42,7 @@
 class WriteBatchCommitter {
  public:
   struct Hooks {
-    std::function<bool()> still_leading;  // by this controller's view
+    std::function<bool()> still_leading;  // whether this controller leads by its own view
     std::function<void(Seconds)> pause;   // sleeps
   };
   WriteBatchCommitter(KeyValueStore& store, Hooks hooks);
@@ -57,11 +57,11 @@
   struct UnansweredAttempts {
     enum class Status { kCarriedOut, kNotCarriedOut, kDeposed, kGivenUp };
     Status status = Status::kGivenUp;
-    Revision revision;  // if carried out
+    Revision revision;  // of the changes, if they were carried out
   };
   // The result of reading keys that a batch changes.
   struct ReadBackResult {
-    bool answered = false;  // by the key-value store
+    bool answered = false;  // whether the key-value store answered the read
     bool present = false;   // whether the keys have the contents that the batch writes
     Condition key;          // the last key read, at its current revision
   };
--- a/tests/boot_time_test.cc
+++ b/tests/boot_time_test.cc
@@ -108,7 +108,7 @@
   }
   ASSERT_EQ(CountLiveTasks(), 8U);
   JobSpec urgent = MakeJob("j-9", 2);
-  urgent.deadline = Seconds{38};  // 30 s to run; a nominal boot and image fetch would miss it
+  urgent.deadline = Seconds{38};  // too early for a nominal boot, image fetch and 30 s to run
   const int provisioned_before = provisioned;
   Run(node, urgent);
   Settle(node, 1);
--- a/tests/cancellation_test.cc
+++ b/tests/cancellation_test.cc
@@ -372,7 +372,7 @@
 }
 
 // A leader that has not loaded the jobs starts no tasks and renews no leases, but processes
-// heartbeats. It never starts a task of a job whose cancellation was announced meanwhile.
+// heartbeats. It never starts a task of a job if its cancellation was announced meanwhile.
 TEST_F(CancellationTest, NoStartsOrRenewalsUntilCancellationsAreLoaded) {
   Begin();
   SimulatedController& controller = *cluster.controllers.at(leader);
@@ -412,7 +412,7 @@
   EXPECT_FALSE(controller.api.cache().IsCancelled({"j-1"}));
 }
 
-// A controller whose registry is full does not acknowledge further cancellations.
+// A controller with a full registry does not acknowledge further cancellations.
 TEST_F(CancellationTest, FullRegistryDoesNotAcknowledge) {
   Begin();
   SimulatedController& controller = *cluster.controllers.at(leader);
--- a/tests/failover_timeline_test.cc
+++ b/tests/failover_timeline_test.cc
@@ -55,7 +55,7 @@
   EXPECT_EQ(CountLiveTasks(), 8U);
 }
 
-// One task ended while there was no leader. Its worker gets a command to forget the task once the
+// One task ended while there was no leader. Its worker gets a command to discard the task once the
 // result is durable, and no other command is sent.
 TEST_F(LeaderStartTest, SendsCommandsOnlyForDifferences) {
   FillMachinesAndEndLease();
--- a/tests/faulty_store.h
+++ b/tests/faulty_store.h
@@ -20,7 +20,7 @@
   bool response_lost = false;  // the response is lost
 };
 
-// A key-value store client whose calls fail as configured by a test.
+// A key-value store client with calls that fail as configured by a test.
 class FaultyStore : public KeyValueStore {
  public:
   FaultyStore(FakeStore& store, const Instant& now, std::function<void(Seconds)> wait)
--- a/tests/late_write_test.cc
+++ b/tests/late_write_test.cc
@@ -1,4 +1,4 @@
-// Transactions that commit after their caller has timed out, or whose response is lost: what a
+// Transactions that commit after their caller has timed out, or that lose their response: what a
 // leader may conclude from reading the store afterwards.
 #include <gtest/gtest.h>
 
--- a/tests/lost_answers_test.cc
+++ b/tests/lost_answers_test.cc
@@ -122,8 +122,8 @@
   UnreliableStore store(GetParam(), now);
   SubmissionBatcher submissions(store, {.rate_limit = {.maximum = 25, .initial = 0.5}},
                                 {[&] { return now; }, [&](Seconds delay) { now = now + delay; }});
-  for (int i = 0; i < 20; ++i)
-    store.Get("warm");  // earlier reads, as the election and polls make them
+  // Earlier reads, as the election and polls make them.
+  for (int i = 0; i < 20; ++i) store.Get("warm");
   store.requests = 0;
   const Instant begin = now;
   int in_time = 0;
--- a/tests/takeover_test.cc
+++ b/tests/takeover_test.cc
@@ -65,8 +65,9 @@
       << "a deposed leader must not renew the lease of a worker with a later token";
 }
 
-// Guards against endless retries (found by a seed of the sweep): while one command was pending,
-// another was needed, and a worker that had seen a later leader's token refused each retry.
+// Guards against endless retries (found by a seed of the sweep): a deposed leader had one command
+// pending and needed to send another, and the worker, which had received a later leader's token,
+// refused each retry.
 TEST_F(TakeoverTest, RefusingWorkerIsNotRetriedWithoutBackoff) {
   TestController& old_leader = AddController("n0");
   FakeWorker& worker = AddWorker("m-1");
--- a/tests/write_budget_test.cc
+++ b/tests/write_budget_test.cc
@@ -16,7 +16,7 @@
   ASSERT_TRUE(node.TakeOver(now));
   Settle(node);
   JobSpec late_job = MakeJob("j-1", 2);
-  late_job.deadline = Seconds{40};  // has certainly passed when capacity becomes free
+  late_job.deadline = Seconds{40};  // certainly passes before capacity becomes free
   JobSpec timely_job = MakeJob("j-2", 2);
   timely_job.deadline = Seconds{200};
   Run(node, MakeJob("j-3", 2));
