--- a/tests/cancellation_test.cc
+++ b/tests/cancellation_test.cc
@@ -163,7 +163,7 @@
       simulation.StopController(canceller);
       simulation.StartController(canceller);
       if (fault_step == 1) {
-        simulation.partitions.insert({third, leader_label});  // it cannot reach the leader
+        simulation.partitions.insert({third, leader_label});  // `third` cannot reach the leader
       }
       simulation.AdvanceSeconds(1);
       while (simulation.store.has_delayed_transactions()) simulation.store.DeliverDelayed();
--- a/tests/late_write_test.cc
+++ b/tests/late_write_test.cc
@@ -51,7 +51,7 @@
 
 // The response to the deletion of an unused page is lost. The leader took the conflict of the retry
 // for a rejection, kept the page in memory with a revision that no key has, and chose it for the
-// next bindings. All writes of these were then rejected.
+// next bindings. Every attempt to write these bindings was then rejected.
 TEST_F(LateWriteTest, UnansweredDeletionIsFoundCommitted) {
   for (const auto fault : {FakeStore::Fault::kLoseResponse, FakeStore::Fault::kCommitLate,
                            FakeStore::Fault::kRefuse}) {
