--- a/src/cancellation/cancellation_broadcaster.h
+++ b/src/cancellation/cancellation_broadcaster.h
@@ -18,9 +18,10 @@
 //  (b) when the job is final, so that none of its tasks is on a machine or can start.
 // CancellationRegistry explains why this suffices.
 //
-// Unresponsive peers do not delay the user: a peer that did not acknowledge its latest announcement
-// is asked last, and only after kPeerRetryInterval. No peer is asked once kBroadcastTimeout has
-// passed. The user is then answered by (b).
+// Unresponsive peers do not delay the user: a peer that did not acknowledge the latest announcement
+// sent to it gets the next one after all other peers, and only after kPeerRetryInterval. No
+// announcement is sent once kBroadcastTimeout has passed. The cancellation is then acknowledged
+// by (b).
 //
 // Thread safe.
 class CancellationBroadcaster {
@@ -57,7 +58,7 @@
   Options options_;
   Hooks hooks_;
   std::mutex mutex_;                              // guards last_failures_; not held across I/O
-  std::map<std::string, Instant> last_failures_;  // by peer; absent after an acknowledgement
+  std::map<std::string, Instant> last_failures_;  // by peer; erased by an acknowledgement
 };
 
 }  // namespace magpie
--- a/src/election/leader_election.h
+++ b/src/election/leader_election.h
@@ -13,7 +13,7 @@
 
 // One controller's participation in the election. The controller holds a lease of the store, and
 // its member key and, if it leads, the leader key are attached to that lease. The holder of the
-// leader key writes the epoch, from whose revision the fencing token is made.
+// leader key writes the epoch; the fencing token is made from the revision of the epoch.
 //
 // Not thread safe. Each call does a bounded amount of I/O.
 class LeaderElection {
@@ -23,7 +23,7 @@
   LeaderElection(KeyValueStore& store, std::string label, std::string nonce, Seconds lease);
 
   struct View {
-    bool store_reachable = false;                   // by the latest step
+    bool store_reachable = false;                   // result of the latest step
     std::optional<records::Leadership> leadership;  // set if this controller leads
     std::string leader;                             // the leader's label; empty: no leader
     Revision epoch;                                 // the latest epoch that was read
@@ -31,7 +31,7 @@
   // Renews the lease and reads the control keys; campaigns if there is no leader and `may_campaign`
   // is set. To be called about once a second and whenever the control keys change.
   const View& Step(bool may_campaign = true);
-  // Deletes the leader key, so that another controller need not wait for the lease to expire.
+  // Deletes the leader key, so that other controllers do not wait for the lease to expire.
   // Returns false if it is unknown whether the deletion was carried out.
   bool Resign();
   const View& view() const { return view_; }
@@ -52,7 +52,7 @@
   std::string nonce_;
   Seconds lease_duration_;
   std::optional<LeaseId> lease_;
-  std::optional<LeaseId> published_lease_;  // attached to the member key by its latest write
+  std::optional<LeaseId> published_lease_;  // the lease of the member key's latest write
   View view_;
 };
 
--- a/src/provisioning/autoscaler.h
+++ b/src/provisioning/autoscaler.h
@@ -25,7 +25,7 @@
   std::uint32_t tasks = 0;  // number of tasks that would share the machine and its price
   Seconds target;           // time from now by which the work should be done
   bool required = false;    // at any price: no other machine can run the work
-  std::function<Seconds(const MachineType&)> run_time;  // predicted, of one task
+  std::function<Seconds(const MachineType&)> run_time;  // predicted for one task
 };
 
 // Keeps the available machine types with their prices, and the kinds that the cloud refused
@@ -39,8 +39,8 @@
   struct Options {
     Seconds provision_retry_delay{90};  // after which a refused kind may be requested again
     std::uint32_t max_per_request = 8;
-    // Work that is not `required` gets no machine whose price per task exceeds the cheapest one by
-    // more than this factor.
+    // Work that is not `required` gets no machine with a price per task above this factor times the
+    // lowest one.
     double max_price_ratio = 4;
   };
 
