--- a/src/agent/journal.h
+++ b/src/agent/journal.h
@@ -1,6 +1,7 @@
 // Durable state of a worker, stored in SQLite: its agent epoch, the highest fencing token it has
-// seen, its sequence numbers, and the tasks whose results are kept. The epoch, the token and the
-// sequence numbers never decrease, even across restarts (PROTOCOL, "POST /checkin").
+// seen, its sequence numbers, and the completed tasks with results kept on the machine. The epoch,
+// the token and the sequence numbers never decrease, even across restarts
+// (PROTOCOL, "POST /checkin").
 #pragma once
 
 #include <cstdint>
@@ -37,7 +38,7 @@
  public:
   struct Options {
     std::string path;
-    std::uint32_t max_pages = 1U << 18;  // of 4 KiB each
+    std::uint32_t max_pages = 1U << 18;  // maximum file size, in pages of 4 KiB
     std::uint64_t sequence_step = 1000;  // sequence numbers reserved per write
   };
 
@@ -55,7 +56,8 @@
   void SaveCounters(std::uint64_t agent_epoch, std::uint64_t sequence, FencingToken token);
   // Must be called before the task is reported as done.
   void RecordCompletedTask(const TaskId& task);
-  // Deletes the results of a job whose tasks will not be started again.
+  // Deletes the records of a job's completed tasks. Must be called only if none of the job's tasks
+  // will be started again.
   void DeleteJobResults(const JobId& job);
 
  private:
--- a/src/agent/worker.cc
+++ b/src/agent/worker.cc
@@ -90,8 +90,9 @@
     FollowRedirect(answer.destination, now);
     return;
   }
-  // A response to a heartbeat of an earlier agent epoch, or from a controller with an outdated
-  // token, is dropped. The worker keeps using this controller, and its lease is not renewed.
+  // A response is dropped if the heartbeat was of an earlier agent epoch, or if the response has no
+  // token or one lower than the highest that the worker has seen. The worker keeps using this
+  // controller, and its lease is not renewed.
   if (schedule_.sent_agent_epoch != state_.agent_epoch || !answer.token ||
       *answer.token < state_.token)
     return;
@@ -148,8 +149,8 @@
   if (now - lease_start_ > options_.lease) ExpireLease(now);
 }
 
-// Kills and forgets all tasks. Their resources and task ids remain in use until the processes have
-// exited.
+// Kills all tasks and removes them from the heartbeats. Their resources and task ids remain in use
+// until the processes have exited.
 void Worker::ExpireLease(Instant now) {
   for (auto& [key, run] : runs_) {
     if (run.state == RunState::kRunning || run.state == RunState::kSaving)
@@ -289,7 +290,7 @@
 }
 
 void Worker::StartProcess(const AttemptKey& key, TaskRun& run) {
-  if (state_.done.contains(key.task)) {  // already completed
+  if (state_.done.contains(key.task)) {  // the task has already completed
     EndTask(run, ExitReason::kDone);
     return;
   }
@@ -379,7 +380,7 @@
   effects_.push_back({kind, key.task, key.attempt, {}});
 }
 
-// Filled in place because g++ 12 warns that a braced temporary may be uninitialized.
+// The effect is filled in place because g++ 12 warns that a braced temporary may be uninitialized.
 void Worker::AddImageEffect(Effect::Kind kind, const std::string& image) {
   Effect& effect = effects_.emplace_back();
   effect.kind = kind;
--- a/src/agent/worker.h
+++ b/src/agent/worker.h
@@ -42,7 +42,7 @@
     kStart,            // start the process; call OnExit once the process has exited
     kSave,             // make the process save its progress and exit, then call OnExit
     kKill,             // kill the process, then call OnExit
-    kDiscardTaskData,  // delete the data of an exited task, except its result
+    kDiscardTaskData,  // delete the data of an ended task, except its result
   } kind = Kind::kReadDescription;
   TaskId task;
   Attempt attempt;
@@ -52,9 +52,9 @@
 // The result of sending a heartbeat.
 struct Answer {
   enum class Kind : std::uint8_t {
-    kOk,
-    kRedirected,  // 421
-    kFailed,      // any other status, no response within kAnswerTimeout, or no connection
+    kOk,          // status 200
+    kRedirected,  // status 421
+    kFailed,      // any other status, no response within kResponseTimeout, or no connection
   } kind = Kind::kFailed;
   std::optional<FencingToken> token;
   std::optional<std::string> destination;  // the controller named in the 421 response
@@ -87,9 +87,9 @@
     std::uint64_t agent_epoch = 0;
     std::uint64_t sequence = 0;
     FencingToken token;
-    std::set<TaskId> done;  // tasks whose results are kept
+    std::set<TaskId> done;  // completed tasks; their results are kept
   };
-  static constexpr Seconds kAnswerTimeout{4};  // for the response to a heartbeat
+  static constexpr Seconds kResponseTimeout{4};  // maximum wait for the response to a heartbeat
 
   // `random` returns numbers from 0 to 1, used for jitter.
   Worker(Options options, DurableState state, std::function<double()> random, Instant now);
--- a/src/cloud/cloud_client.h
+++ b/src/cloud/cloud_client.h
@@ -15,9 +15,9 @@
 // Result of a call that provisions or releases machines.
 enum class CloudStatus {
   kOk,
-  kNoCapacity,  // none for this machine kind, or the request is malformed
-  kRefused,     // not carried out: rate limit, outage or no connection
-  kUnknown,     // it may have been carried out, or may be carried out later
+  kNoCapacity,  // no capacity for this machine kind, or the request is malformed
+  kRefused,     // the call was not carried out: rate limit, outage or no connection
+  kUnknown,     // the call may have been carried out, or may be carried out later
 };
 
 // `machines` is set only with kOk; it may hold fewer machines than requested.
@@ -37,7 +37,7 @@
   // Idempotent: the cloud carries out requests with the same name once.
   ProvisionResult Provision(const ScaleOutRequest& request);
   CloudStatus Release(const std::vector<MachineId>& machines);
-  // The machines of all pages; nullopt: no valid response for one of the pages.
+  // The machines of the first 100 pages; nullopt: no valid response for one of the pages.
   std::optional<std::vector<ListedMachine>> List();
 
  private:
--- a/src/load_test/networked_worker.cc
+++ b/src/load_test/networked_worker.cc
@@ -141,7 +141,7 @@
     if (incarnation == incarnation_) OnOutcome(unreachable_ ? HttpOutcome{} : outcome);
   };
   if (unreachable_) {
-    loop_.After(agent::Worker::kAnswerTimeout, [done, alive = std::weak_ptr<int>(alive_)] {
+    loop_.After(agent::Worker::kResponseTimeout, [done, alive = std::weak_ptr<int>(alive_)] {
       if (alive.lock()) done({});
     });
     return;
@@ -149,7 +149,7 @@
   ConnectionTo(outgoing.node)
       .Call(
           {"POST", protocol::kHeartbeatPath, protocol::HeartbeatToJson(outgoing.heartbeat).dump()},
-          agent::Worker::kAnswerTimeout, done);
+          agent::Worker::kResponseTimeout, done);
 }
 
 void NetworkedWorker::OnOutcome(const HttpOutcome& outcome) {
--- a/src/metrics/service_metrics.h
+++ b/src/metrics/service_metrics.h
@@ -19,8 +19,8 @@
   struct Row {
     std::uint64_t accepted = 0;   // jobs, including those accepted by earlier leaders
     std::uint64_t started = 0;    // jobs with a task that was reported as running
-    std::uint64_t done = 0;       // jobs
-    std::uint64_t cancelled = 0;  // jobs
+    std::uint64_t done = 0;       // jobs that have completed
+    std::uint64_t cancelled = 0;  // jobs that were cancelled
     std::uint64_t stopped = 0;    // tasks stopped while their jobs remain open
     std::uint64_t waiting = 0;    // open jobs without a running task
     std::uint64_t open = 0;       // jobs that have not ended
--- a/src/model/cloud_call.h
+++ b/src/model/cloud_call.h
@@ -9,7 +9,7 @@
 
 namespace magpie {
 
-// The cloud's capacity is counted separately for each combination of these.
+// A combination of machine type, zone and spot. The cloud has a separate capacity for each.
 struct MachineKind {
   std::string type;
   std::string zone;
--- a/src/model/direct_command.h
+++ b/src/model/direct_command.h
@@ -15,7 +15,7 @@
 // The leader's response to a heartbeat.
 struct HeartbeatResponse {
   bool accepted = true;             // false: the worker has seen a later leader's token
-  bool redirect_to_leader = false;  // relayed, but the worker can reach the leader again
+  bool redirect_to_leader = false;  // the worker of a relayed heartbeat can reach the leader again
   FencingToken token;
   std::vector<Command> commands;
 };
@@ -27,7 +27,7 @@
   std::uint64_t agent_epoch = 0;
   FencingToken token;
   std::vector<Command> commands;
-  // The latest values reported by the worker when this was sent.
+  // The latest values that the worker had reported when the command was sent.
   std::uint64_t known_agent_epoch = 0;
   std::uint64_t known_sequence = 0;
   FencingToken known_token;
@@ -35,7 +35,7 @@
 
 // The result of sending a direct command.
 enum class DeliveryStatus {
-  kAnswered,  // the worker responded: executed or rejected
+  kAnswered,  // the worker responded: it executed or rejected the command
   kNotSent,   // no connection was established, so the command cannot arrive later
   kUnknown,   // the worker may have executed the command, or may execute it later
 };
--- a/src/model/fencing_token.h
+++ b/src/model/fencing_token.h
@@ -12,7 +12,7 @@
   auto operator<=>(const Revision&) const = default;
 };
 
-// Authorizes a controller to command workers: a worker ignores any controller whose token is lower
+// Authorizes a controller to command workers: a worker ignores any controller with a token lower
 // than the highest one that the worker has seen (PROTOCOL, "Tokens").
 struct FencingToken {
   std::uint64_t value = 0;
--- a/src/model/job.h
+++ b/src/model/job.h
@@ -18,7 +18,7 @@
   kService,  // tasks (replicas) that run until the job is cancelled
 };
 
-// Higher values may preempt lower ones.
+// Jobs of a higher priority may preempt jobs of a lower one.
 enum class Priority { kLow = 0, kNormal = 1, kHigh = 2, kProduction = 3 };
 
 // A job as submitted.
@@ -35,7 +35,7 @@
   std::optional<std::vector<std::string>> types;  // allowed machine types; nullopt: all
   std::optional<std::string> zone;                // the only allowed zone; nullopt: all
   bool single_zone = false;                       // all tasks must run in the same zone
-  bool spread = false;                            // MaxTasksPerZone applies
+  bool spread = false;                            // MaxTasksPerZone limits the tasks in one zone
   bool spot = false;                              // spot machines are allowed
   Seconds estimate;             // the user's estimate of a task's run time, without the image fetch
   Seconds checkpoint_interval;  // interval between checkpoints; 0: tasks never save their progress
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -1,5 +1,5 @@
-// Machine types and machines as the cloud describes them (PROTOCOL, "Controller nodes ->
-// cloud").
+// Machine types and machines as the cloud describes them
+// (PROTOCOL, "Controller nodes -> cloud").
 #pragma once
 
 #include <string>
--- a/src/model/objective.h
+++ b/src/model/objective.h
@@ -7,7 +7,7 @@
 
 namespace magpie {
 
-// Requires that a share of the jobs of a class, from 0 to 1, meets a time limit.
+// Requires that a share (from 0 to 1) of the jobs of a class meets a time limit.
 struct Objective {
   std::string kind;
   std::string job_class;
--- a/src/model/resources.h
+++ b/src/model/resources.h
@@ -1,4 +1,4 @@
-// Amounts of the resources of machines that tasks use.
+// Amounts of machine resources that tasks use.
 #pragma once
 
 namespace magpie {
--- a/src/model/safety_checks.h
+++ b/src/model/safety_checks.h
@@ -22,14 +22,14 @@
   kFinalCondition,
   // --- submissions and results
   kSubmitCondition,      // a job id is accepted once, and not again after the job is final
-  kFinalAfterUnbound,    // a cancelled job is final only when none of its tasks is bound
+  kFinalAfterUnbound,    // a cancelled job becomes final only once none of its tasks is bound
   kQuotaUntilDurable,    // an ended task counts against the quota until its end is durable
   kResultOnlyIfUnbound,  // a result of an earlier attempt counts only while the task is unbound
   // --- cancellations
   kStoppingBeforeAcknowledged,  // `stopping` is durable before peers are notified
-  kAllControllersAcknowledged,  // all peers acknowledge before the user gets the answer
+  kAllControllersAcknowledged,  // all peers acknowledge before the user gets the response
   kCancelCondition,             // a cancellation is not written once the job has become final
-  kCancellationStored,          // announced cancellations that were not read yet are stored
+  kCancellationStored,          // an announced cancellation is kept until a read includes it
   kResponseFilter,              // heartbeat responses start no task of a cancelled job
   kCommandFilter,               // direct commands start no task of a cancelled job
   kStopInResponse,              // heartbeat responses stop the reported tasks of cancelled jobs
@@ -40,28 +40,27 @@
   kLiveBeforeFinal,   // a job is looked up under j/ first, then under f/
   // --- starts
   kStartOnlyDurable,      // a task is started only once its binding is durable
-  kNoStartWhileStopping,  // no start while the job is cancelled or the task is to be stopped
-  kQuotaBeforeStart,      // a task starts only while all bound tasks obey limits and zone rules
-  kRewrittenUnbound,      // a pending binding in a page rewritten for other records stays unbound
-  kReadLatestRecord,      // the latest of several records of a task counts
-  // --- when a task that a message does not list is known to be absent
-  kCommandInFlight,     // nothing is concluded while a direct command is in flight
-  kResponseInFlight,    // nothing from a direct command's answer while a heartbeat response is in
-                        // flight
-  kFencingTokenSeen,    // nothing until the worker has seen the fencing token
-  kRaiseAfterNoAnswer,  // the token is raised after a direct command without an answer
-  kForgetOnlyIfProven,  // an attempt is forgotten only if no command can start it again
+  kNoStartWhileStopping,  // a task does not start if it must be stopped or its job is cancelled
+  kQuotaBeforeStart,      // a task starts only while its team's limit and its job's zone rules hold
+  kRewrittenUnbound,      // a page rewritten for other records contains no pending bindings
+  kReadLatestRecord,      // if a task has several records, the latest counts
+  // --- conditions for concluding that a task missing in a worker's message is not on the machine
+  kCommandInFlight,  // no conclusion while a direct command is in flight
+  // No conclusion from a direct command's response while a heartbeat response is in flight.
+  kResponseInFlight,
+  kFencingTokenSeen,    // no conclusion until the worker has seen the fencing token
+  kRaiseAfterNoAnswer,  // the token is raised if a direct command may be executed later
+  kForgetOnlyIfProven,  // no forget command while a command may start the attempt again
   kHeartbeatOrder,      // a message older than the latest one is ignored
-  kLaterAgentEpoch,     // a later agent epoch proves nothing until this leader's token was seen
-  kEndBeforeThisEpoch,  // the same for the reported end of a task
+  kLaterAgentEpoch,     // a later agent epoch proves nothing until the worker has seen the token
+  kEndBeforeThisEpoch,  // a task's reported end proves nothing until the worker has seen the token
   kAgentRestarted,      // a restarted worker that lost its sequence numbers and token is recognized
   kFenceAgentRestarted,  // such a worker gets a token higher than all earlier ones
   // --- leadership
   kLaterEpochHeartbeat,    // no commands in response to a heartbeat with a later epoch's token
-  kLaterEpochCommand,      // the same for the answer to a direct command
+  kLaterEpochCommand,      // a direct command's response with a later epoch's token is ignored
   kFollowerRaisesToken,    // a follower that renews a worker's lease raises the worker's token
-  kCommittedByThisLeader,  // a write that is found in the store counts only if this controller
-                           // still leads
+  kCommittedByThisLeader,  // a write found in the store counts only if this controller still leads
   kEpochMatchesKey,        // the epoch was won with the current leader key
   kNonceMatchesProcess,    // the leader key was written by this run of the process
   kCount,
--- a/src/model/worker_messages.h
+++ b/src/model/worker_messages.h
@@ -49,7 +49,7 @@
   std::vector<TaskStatus> tasks;
 };
 
-// Start a task, stop it, or remove an ended task from the heartbeats.
+// What the worker must do: start a task, stop it, or remove an ended task from its heartbeats.
 enum class CommandKind { kRun, kStop, kForget };
 
 // A command on one attempt of a task.
--- a/src/model/write_batch.h
+++ b/src/model/write_batch.h
@@ -28,8 +28,8 @@
   bool operator==(const TaskRecord&) const = default;
 };
 
-// Identifies a page shared by all jobs, or a block of tasks of a single job, as written by earlier
-// versions.
+// Identifies a page that all jobs share or, as written by earlier versions, a page that holds a
+// block of tasks of a single job.
 struct RecordPageKey {
   JobId job;  // empty: a shared page
   std::uint64_t number = 0;
@@ -71,8 +71,8 @@
   std::vector<Put> puts;
   std::vector<Drop> drops;
   std::vector<Final> finals;
-  std::map<JobId, Revision>
-      expected_job_revisions;  // expected revisions of the job keys of jobs with new records
+  // Expected revisions of the job keys of jobs with new records.
+  std::map<JobId, Revision> expected_job_revisions;
 
   bool empty() const { return puts.empty() && drops.empty() && finals.empty(); }
 };
--- a/src/net/blocking_stream.h
+++ b/src/net/blocking_stream.h
@@ -20,10 +20,10 @@
 class BlockingStream : public httplib::Stream {
  public:
   struct Limits {
-    // Maximum bytes read for one message, regardless of the declared length.
+    // Maximum number of bytes read for one message, regardless of the declared length.
     std::size_t message_bytes = std::numeric_limits<std::size_t>::max();
-    Seconds send_timeout{5};  // for the peer to accept more data
-    // From the first bytes of a message to its last; 0: no limit.
+    Seconds send_timeout{5};  // maximum wait for the peer to accept more data
+    // Maximum time from the first bytes of a message to its last; 0: no limit.
     Seconds receive_timeout{};
     // Bytes of incomplete messages over all streams that share the counter, and their limit.
     std::atomic<std::size_t>* pending_bytes = nullptr;
@@ -37,15 +37,17 @@
 
   // Starts a new message and resets the per-message limits.
   void StartMessage();
-  // Starts a new message and waits for its first bytes. False: the connection is closed or failed.
+  // Starts a new message and waits for its first bytes. False: the connection is closed or failed,
+  // or a timeout expired.
   bool WaitForMessage();
   // Whether bytes of the next message have already been read.
   bool has_buffered_input() const { return input_.begin < input_.end; }
-  // Whether the input ended within a message. Such a message is not answered.
+  // Whether a message could not be read to its end. Such a message gets no response.
   bool truncated() const { return truncated_; }
   // Whether a send or receive timeout expired.
   bool timed_out() const { return timed_out_; }
-  // Sends the buffered output. False: the connection is closed or failed.
+  // Sends the buffered output. False: the connection is closed or failed, or the send timeout
+  // expired.
   bool Flush();
 
   // httplib::Stream
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -23,7 +23,7 @@
   bool answered = false;
   int status = 0;
   std::string body;
-  // The timeout expired without a response, a refused connection or a close, as in a network
+  // True: the timeout expired, and the connection was neither refused nor closed, as in a network
   // partition. When the server process has exited, its connections are refused or closed at once.
   bool timed_out = false;
 };
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -76,7 +76,7 @@
   try {
     return handler_(request);
   } catch (const std::exception& error) {  // a handler may throw any exception
-    spdlog::error("request handler failed method={} path={} error={}", request.method, request.path,
+    spdlog::error("fail request method={} path={} error=\"{}\"", request.method, request.path,
                   error.what());
     return {kServerError, R"({"error":"internal"})"};
   }
@@ -117,7 +117,8 @@
       bind(listener.get(), reinterpret_cast<sockaddr*>(&bound), sizeof bound) != 0 ||
       ::listen(listener.get(), kBacklog) != 0)
     return false;
-  // Accepted connections inherit the listener's timeout, which saves a system call for each.
+  // On most systems accepted connections inherit the listener's timeout, which saves a system call
+  // for each.
   SetReceiveTimeout(listener.get());
   port_ = address.port;
   if (port_ == 0) {
@@ -162,7 +163,7 @@
   setsockopt(socket, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
 }
 
-// On most systems accepted connections inherit the listener's timeout.
+// Whether an accepted connection inherited the listener's timeout, as on most systems.
 bool HttpServer::HasReceiveTimeout(int socket) {
   timeval timeout{};
   socklen_t size = sizeof timeout;
@@ -190,7 +191,7 @@
   std::lock_guard lock(mutex_);
   const Instant now = SteadyNow();
   if (!CloseIdleConnections(now)) return;
-  if (threads_.total == 0) StartThread();  // the last start failed for lack of memory
+  if (threads_.total == 0) StartThread();  // no thread could be started for lack of memory
   const std::uint64_t id = ++connections_.last_id;
   connections_.list.push_back({id, std::move(socket), false, now});
   const auto connection = std::prev(connections_.list.end());
@@ -238,7 +239,7 @@
     std::thread([this] { ServeRequests(); }).detach();
   } catch (const std::system_error& error) {
     --threads_.total;
-    spdlog::error("starting request thread failed error={}", error.what());
+    spdlog::error("fail to start request thread error=\"{}\"", error.what());
   }
 }
 
@@ -289,7 +290,7 @@
     bool closed = false;
     close_after_response = false;
     const bool processed = process_request(stream, false, closed, nullptr);
-    // No 400 for an incomplete request, because the client would not retry it.
+    // An incomplete request gets no 400 response, because the client would then not retry it.
     if (stream.truncated() || !stream.Flush()) return false;
     if (!processed || closed || close_after_response) return false;
   } while (stream.has_buffered_input());
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -51,17 +51,18 @@
     std::size_t connections = 400;
     // HttpResponse::close_if_busy applies when more connections than this are open.
     std::size_t keep_alive_connections = 400;
-    std::size_t threads = 64;                 // concurrent requests
-    std::size_t body_bytes = 64 * 1024;       // of one request
-    std::size_t pending_bytes = 1024 * 1024;  // total for all incomplete requests
-    Seconds idle_timeout{120};                // for a connection between requests
-    Seconds receive_timeout{10};              // from the first bytes of a request to its last
+    std::size_t threads = 64;                 // maximum number of requests served at the same time
+    std::size_t body_bytes = 64 * 1024;       // maximum body length of a request
+    std::size_t pending_bytes = 1024 * 1024;  // maximum total of all incomplete requests
+    Seconds idle_timeout{120};                // maximum time of a connection without a request
+    Seconds receive_timeout{10};  // maximum time from the first bytes of a request to its last
   };
 
   HttpServer(Handler handler, Limits limits);
   ~HttpServer() override;
 
-  // Binds the address and starts accepting; port 0 selects a free port. False: it failed.
+  // Listens on the address and starts accepting connections; port 0 selects a free port. False: the
+  // address cannot be used, or epoll is not available.
   bool Start(const Address& address);
   int port() const { return port_; }
   // Closes all connections and waits for the requests in progress.
--- a/src/protocol/codec.h
+++ b/src/protocol/codec.h
@@ -40,7 +40,7 @@
 
 // Parses a job as submitted by a user; the submission time is not set.
 JobSpec JobFromUser(const Json& body);
-// The format of stored job records.
+// Conversion to and from the format of stored job records.
 Json JobToRecord(const JobSpec& spec);
 JobSpec JobFromRecord(const Json& record);
 
@@ -56,7 +56,7 @@
 inline constexpr char kDone[] = "done";
 inline constexpr char kCancelled[] = "withdrawn";
 // `counts`: whether to include the numbers of done and running tasks.
-Json JobStatusReplyToJson(const JobStatusReply& answer, bool counts);
+Json JobStatusReplyToJson(const JobStatusReply& reply, bool counts);
 
 // The text form of a task id, such as "j-000412/3".
 std::string TaskIdToText(const TaskId& id);
--- a/src/protocol/job_codec.cc
+++ b/src/protocol/job_codec.cc
@@ -90,11 +90,11 @@
   return spec;
 }
 
-Json JobStatusReplyToJson(const JobStatusReply& answer, bool counts) {
-  Json message{{"id", answer.id.value}, {"mood", answer.state}};
+Json JobStatusReplyToJson(const JobStatusReply& reply, bool counts) {
+  Json message{{"id", reply.id.value}, {"mood", reply.state}};
   if (counts) {
-    message["done"] = answer.done;
-    message["running"] = answer.running;
+    message["done"] = reply.done;
+    message["running"] = reply.running;
   }
   return message;
 }
--- a/src/protocol/json_fields.h
+++ b/src/protocol/json_fields.h
@@ -19,19 +19,19 @@
 const Json& RequiredField(const Json& object, const char* field);
 const Json& RequiredArray(const Json& object, const char* field);
 
-// Returns `value`; `field` is used in the error message.
+// Returns `value` if it is an object; `field` is used in the error message.
 const Json& CheckObject(const Json& value, const char* field);
 // Whether ToText accepts an empty string.
 enum class EmptyText { kRejected, kAllowed };
 std::string ToText(const Json& value, const char* field, EmptyText empty = EmptyText::kRejected);
-// A finite, non-negative number of at most 1e9.
+// Accepts a finite, non-negative number of at most 1e9.
 double ToAmount(const Json& value, const char* field);
 
 std::string RequiredText(const Json& object, const char* field);
 bool RequiredBool(const Json& object, const char* field);
 bool OptionalBool(const Json& object, const char* field);  // false if absent
 double RequiredAmount(const Json& object, const char* field);
-// An integer from 0 to 2^64 - 1.
+// Accepts an integer from 0 to 2^64 - 1.
 std::uint64_t RequiredCount(const Json& object, const char* field);
 
 // A word of the protocol and the value that it represents.
--- a/src/worker/worker_client.cc
+++ b/src/worker/worker_client.cc
@@ -14,7 +14,7 @@
 constexpr Seconds kProbeConnectTimeout{0.4};
 constexpr std::size_t kNoIdleConnections = 0;  // there are many workers, and calls to each are rare
 constexpr int kExecuted = 200;
-constexpr int kNotExecuted = 409;  // token or agent epoch mismatch; the body is the same
+constexpr int kNotExecuted = 409;  // token or agent epoch mismatch; the body is a heartbeat too
 
 }  // namespace
 
@@ -34,7 +34,7 @@
     return {DeliveryStatus::kAnswered,
             protocol::HeartbeatFromJson(protocol::ParseObject(answer.body))};
   } catch (const protocol::InvalidMessage& error) {
-    spdlog::error("direct command response rejected machine={} error={}",
+    spdlog::error("reject direct command response machine={} error=\"{}\"",
                   direct_command.machine.value, error.what());
     return {DeliveryStatus::kUnknown, std::nullopt};
   }
--- a/tests/agent_journal_test.cc
+++ b/tests/agent_journal_test.cc
@@ -75,9 +75,9 @@
   EXPECT_EQ(state.done, (std::set<TaskId>{{{"j-1"}, 4}}));
 }
 
-// Guards against a disk write for each message, and against reusing a sequence number after a
-// restart.
-TEST_F(AgentJournalTest, SequenceNumbersAreReservedInBatches) {
+// The journal must not write to disk for each message, and must not allow a sequence number to be
+// reused after a restart.
+TEST_F(AgentJournalTest, SequenceNumbersAreReservedInBlocks) {
   Journal::Options options = DefaultOptions();
   options.sequence_step = 10;
   std::uint64_t last = 0;
--- a/tests/agent_test.cc
+++ b/tests/agent_test.cc
@@ -42,7 +42,7 @@
     return {Answer::Kind::kOk, FencingToken{token}, std::nullopt, std::move(commands)};
   }
 
-  // Advances the time to the next heartbeat, sends it and delivers the answer.
+  // Advances the time to the next heartbeat, sends it and delivers the response.
   void ExchangeHeartbeat(const Answer& answer) {
     now = std::max(now, worker.NextWakeup());
     ASSERT_TRUE(worker.NextHeartbeat(now));
@@ -107,7 +107,7 @@
   EXPECT_LE(worker.NextWakeup(), now + Seconds{0.5});
   now = worker.NextWakeup();
   EXPECT_EQ(worker.NextHeartbeat(now)->node, "n2");
-  // After a redirect to the same controller, to none or to an unknown one, and after a failure, the
+  // After a redirect to the same controller, to no or to an unknown one, and after a failure, the
   // worker tries the next controller 1 s later.
   const std::vector<Answer> unusable_answers = {{Answer::Kind::kRedirected, {}, "n2", {}},
                                                 {Answer::Kind::kRedirected, {}, std::nullopt, {}},
@@ -132,10 +132,10 @@
   worker.CheckLease(renewed + Seconds{30});
   EXPECT_EQ(worker.agent_epoch(), 1U);
   worker.CheckLease(renewed + Seconds{30.1});
-  EXPECT_EQ(worker.agent_epoch(), 2U) << "counted from the last accepted answer";
+  EXPECT_EQ(worker.agent_epoch(), 2U) << "the lease runs from the last accepted response";
 }
 
-// The lease runs from the time the heartbeat was sent, regardless of when the answer arrives.
+// The lease runs from the time the heartbeat was sent, regardless of when the response arrives.
 TEST_F(WorkerTest, LateResponseRenewsLeaseFromHeartbeatSendTime) {
   ASSERT_TRUE(worker.NextHeartbeat(now));
   worker.OnAnswer(OkAnswer(1), now + Seconds{3.9});
@@ -284,7 +284,7 @@
 TEST_F(WorkerTest, EvictsLeastRecentlyUsedImagesThatAreNotInUse) {
   StartTask(TaskOf(0, "j-1"), MakeDescription(2, "one"));
   StartTask(TaskOf(0, "j-2"), MakeDescription(2, "two"));
-  StartTask(TaskOf(0, "j-3"), MakeDescription(2, "three"));  // 12 of 10 GB, all in use
+  StartTask(TaskOf(0, "j-3"), MakeDescription(2, "three"));  // 12 GB in a 10 GB cache, all in use
   worker.OnExit(TaskOf(0, "j-2"), {1}, Outcome::kDone);
   worker.OnExit(TaskOf(0, "j-3"), {1}, Outcome::kDone);
   ExchangeHeartbeat(OkAnswer(1, {RunCommand(TaskOf(0, "j-4"))}));
--- a/tests/codec_test.cc
+++ b/tests/codec_test.cc
@@ -216,8 +216,8 @@
   getsockname(listener, reinterpret_cast<sockaddr*>(&addr), &size);
 }
 
-// Guards against extra system calls and packets: a small request is sent, head and body, in one
-// packet, and its connection is reused for the next request.
+// The client must need no extra system calls and packets: the head and the body of a small request
+// are sent in one packet, and the connection is reused for the next request.
 TEST(HttpClientTest, RequestIsSingleSendOverReusedConnection) {
   int listener = -1;
   sockaddr_in addr{};
--- a/tests/failure_detection_test.cc
+++ b/tests/failure_detection_test.cc
@@ -106,7 +106,7 @@
   AdvanceTime(3);
   probe = controller.core.NextProbe(now);
   ASSERT_TRUE(probe.has_value());
-  worker.Take(*probe);
+  worker.Deliver(*probe);
   controller.core.OnDirectCommandResult(*probe, DeliveryStatus::kAnswered, worker.Snapshot(), now);
   EXPECT_TRUE(controller.core.OnHeartbeat(worker.Snapshot(), now, true).redirect_to_leader);
   EXPECT_FALSE(controller.core.OnHeartbeat(worker.Snapshot(), now).redirect_to_leader);
--- a/tests/fake_worker.h
+++ b/tests/fake_worker.h
@@ -1,5 +1,5 @@
 // An in-memory worker that handles tokens, agent epochs, attempts and commands according to the
-// protocol. Tasks end when the test ends them.
+// protocol. Tasks run until the test ends them or a stop command arrives.
 #pragma once
 
 #include <map>
@@ -34,15 +34,15 @@
   }
 
   // Delivers the response to a heartbeat. Returns false if it is dropped.
-  bool Deliver(const HeartbeatResponse& reply) {
-    if (!reply.accepted || reply.token < heartbeat_.token) return false;
-    heartbeat_.token = reply.token;
-    for (const Command& command : reply.commands) Execute(command);
+  bool Deliver(const HeartbeatResponse& response) {
+    if (!response.accepted || response.token < heartbeat_.token) return false;
+    heartbeat_.token = response.token;
+    for (const Command& command : response.commands) Execute(command);
     return true;
   }
 
   // Delivers a direct command, which may arrive late. Returns false if it is rejected.
-  bool Take(const DirectCommand& direct_command) {
+  bool Deliver(const DirectCommand& direct_command) {
     if (direct_command.token < heartbeat_.token ||
         direct_command.agent_epoch != heartbeat_.agent_epoch)
       return false;
--- a/tests/quick_restart_test.cc
+++ b/tests/quick_restart_test.cc
@@ -16,17 +16,17 @@
     while (auto direct_command = controller.core.NextDirectCommand(now)) {
       FakeWorker& worker = WorkerOf(direct_command->machine);
       if (commands_until_crash >= 0 && commands_until_crash-- == 0) {
-        if (store.crash_fault == Fault::kLoseResponse) worker.Take(*direct_command);
+        if (store.crash_fault == Fault::kLoseResponse) worker.Deliver(*direct_command);
         if (store.crash_fault == Fault::kCommitLate) delayed_commands_.push_back(*direct_command);
         throw FakeStore::Crashed{};
       }
-      worker.Take(*direct_command);
+      worker.Deliver(*direct_command);
       controller.core.OnDirectCommandResult(*direct_command, DeliveryStatus::kAnswered,
                                             worker.Snapshot(), now);
     }
     while (auto probe = controller.core.NextProbe(now)) {
       FakeWorker& worker = WorkerOf(probe->machine);
-      worker.Take(*probe);
+      worker.Deliver(*probe);
       controller.core.OnDirectCommandResult(*probe, DeliveryStatus::kAnswered, worker.Snapshot(),
                                             now);
     }
@@ -105,7 +105,7 @@
         RunRound(*controller);
         CompleteSomeTasks(round);
         if (round % 4 == 3 && !delayed_commands_.empty()) {
-          WorkerOf(delayed_commands_.front().machine).Take(delayed_commands_.front());
+          WorkerOf(delayed_commands_.front().machine).Deliver(delayed_commands_.front());
           delayed_commands_.pop_front();
           Check();
         }
@@ -295,7 +295,7 @@
   }
   std::deque<magpie::DirectCommand> sent;
   while (auto direct_command = controller.core.NextDirectCommand(now)) {
-    WorkerOf(direct_command->machine).Take(*direct_command);
+    WorkerOf(direct_command->machine).Deliver(*direct_command);
     sent.push_back(*direct_command);
     controller.core.OnDirectCommandResult(*direct_command, DeliveryStatus::kUnknown, std::nullopt,
                                           now);
@@ -307,7 +307,7 @@
   for (int i = 0; i < 16; ++i) {
     if (i == 2)
       for (const magpie::DirectCommand& direct_command : sent)
-        WorkerOf(direct_command.machine).Take(direct_command);
+        WorkerOf(direct_command.machine).Deliver(direct_command);
     RunRound(controller);
   }
   EXPECT_EQ(CountLiveTasks(), 6U);
--- a/tests/quota_test.cc
+++ b/tests/quota_test.cc
@@ -74,7 +74,7 @@
         }
         while (auto direct_command = new_leader->core.NextDirectCommand(now)) {
           FakeWorker& target = direct_command->machine == m1->id() ? *m1 : *m2;
-          target.Take(*direct_command);
+          target.Deliver(*direct_command);
           new_leader->core.OnDirectCommandResult(*direct_command, DeliveryStatus::kAnswered,
                                                  target.Snapshot(), now);
           EXPECT_LE(BlueCpus(), kQuotaCpus);
@@ -88,7 +88,7 @@
   void Probe(TestController& controller, FakeWorker& worker) {
     while (const auto probe = controller.core.NextProbe(now)) {
       ASSERT_EQ(probe->machine, worker.id()) << "the other workers send heartbeats";
-      worker.Take(*probe);
+      worker.Deliver(*probe);
       controller.core.OnDirectCommandResult(*probe, DeliveryStatus::kAnswered, worker.Snapshot(),
                                             now);
     }
--- a/tests/simulated_cluster_workers.cc
+++ b/tests/simulated_cluster_workers.cc
@@ -43,7 +43,7 @@
                     [this, direct_command] { DeliverCommand(direct_command); });
     return;
   }
-  if (machine->worker.Take(direct_command)) OnWorkerChanged(*machine);
+  if (machine->worker.Deliver(direct_command)) OnWorkerChanged(*machine);
   CheckInvariants();
 }
 
--- a/tests/simulated_controller.cc
+++ b/tests/simulated_controller.cc
@@ -319,7 +319,7 @@
     return core.OnDirectCommandResult(direct_command, DeliveryStatus::kUnknown, std::nullopt,
                                       cluster_.now);
   }
-  if (machine->worker.Take(direct_command) && !direct_command.commands.empty())
+  if (machine->worker.Deliver(direct_command) && !direct_command.commands.empty())
     cluster_.OnWorkerChanged(*machine);
   cluster_.CheckInvariants();
   const Heartbeat answer = machine->worker.Snapshot();
--- a/tests/stale_heartbeat_test.cc
+++ b/tests/stale_heartbeat_test.cc
@@ -54,7 +54,7 @@
     Heartbeat(*new_leader, workers_.back());
     AdvanceTime(0.3);
   }
-  EXPECT_TRUE(worker->Take(*delayed_command)) << "the worker has seen no later token";
+  EXPECT_TRUE(worker->Deliver(*delayed_command)) << "the worker has seen no later token";
   EXPECT_EQ(CountLiveTasks(), 1U) << "the task was also started on another machine";
   Settle(*new_leader);
   EXPECT_EQ(CountLiveTasks(), 1U);
--- a/tests/takeover_test.cc
+++ b/tests/takeover_test.cc
@@ -85,13 +85,13 @@
   Heartbeat(new_leader, worker);  // the worker learns the new token
   old_leader.core.OnCancelled({"j-2"}, Revision{store.Get("j/j-2").entry->revision.value + 1});
   EXPECT_FALSE(old_leader.core.NextDirectCommand(now)) << "a second command while one is pending";
-  EXPECT_FALSE(worker.Take(*pending));
+  EXPECT_FALSE(worker.Deliver(*pending));
   old_leader.core.OnDirectCommandResult(*pending, DeliveryStatus::kAnswered, worker.Snapshot(),
                                         now);
   int retries = 0;
   while (const auto retry = old_leader.core.NextDirectCommand(now)) {
     ASSERT_LE(++retries, 2);
-    EXPECT_FALSE(worker.Take(*retry));
+    EXPECT_FALSE(worker.Deliver(*retry));
     old_leader.core.OnDirectCommandResult(*retry, DeliveryStatus::kAnswered, worker.Snapshot(),
                                           now);
   }
@@ -114,7 +114,7 @@
     const auto probe = old_leader.core.NextProbe(now);
     ASSERT_TRUE(probe.has_value());
     EXPECT_LT(probe->token, worker.token());
-    EXPECT_FALSE(worker.Take(*probe));
+    EXPECT_FALSE(worker.Deliver(*probe));
     old_leader.core.OnDirectCommandResult(*probe, DeliveryStatus::kAnswered, worker.Snapshot(),
                                           now);
   }
@@ -134,7 +134,7 @@
   for (int i = 0; i < 2; ++i) {
     const auto probe = new_leader.core.NextProbe(now);
     ASSERT_TRUE(probe.has_value());
-    EXPECT_EQ(worker.Take(*probe), i == 1) << "the first answer contains the session";
+    EXPECT_EQ(worker.Deliver(*probe), i == 1) << "the first answer contains the session";
     new_leader.core.OnDirectCommandResult(*probe, DeliveryStatus::kAnswered, worker.Snapshot(),
                                           now);
   }
@@ -161,7 +161,7 @@
   worker.EndAll(ExitReason::kDone);
   Settle(new_leader);
   EXPECT_EQ(worker.ReportedTaskCount(), 0U);
-  EXPECT_FALSE(worker.Take(*direct_command));
+  EXPECT_FALSE(worker.Deliver(*direct_command));
   EXPECT_EQ(worker.LiveTaskCount(), 0U);
 }
 
@@ -184,7 +184,7 @@
   EXPECT_GT(response.token, direct_command->token);
   EXPECT_EQ(node.core.GetStatus().bound, 1U);
   worker.Deliver(response);
-  EXPECT_FALSE(worker.Take(*direct_command)) << "the raised token fences off the command";
+  EXPECT_FALSE(worker.Deliver(*direct_command)) << "the raised token fences off the command";
   Heartbeat(node, worker);
   EXPECT_EQ(node.core.GetStatus().bound, 0U);
 }
@@ -202,7 +202,7 @@
   ASSERT_EQ(node.api.Cancel("j-1").status, 200);
   node.ReadJobs();
   const magpie::Heartbeat before = worker.Snapshot();
-  ASSERT_TRUE(worker.Take(*direct_command));  // executed while the heartbeat is in flight
+  ASSERT_TRUE(worker.Deliver(*direct_command));  // executed while the heartbeat is in flight
   worker.Deliver(node.core.OnHeartbeat(before, now));
   EXPECT_EQ(node.core.GetStatus().bound, 1U);
   node.core.OnDirectCommandResult(*direct_command, DeliveryStatus::kAnswered, worker.Snapshot(),
--- a/tests/test_cluster.h
+++ b/tests/test_cluster.h
@@ -159,7 +159,7 @@
       while (auto direct_command = controller.core.NextDirectCommand(now)) {
         for (FakeWorker& worker : workers_)
           if (worker.id() == direct_command->machine) {
-            worker.Take(*direct_command);
+            worker.Deliver(*direct_command);
             controller.core.OnDirectCommandResult(*direct_command, DeliveryStatus::kAnswered,
                                                   worker.Snapshot(), now);
           }
