--- a/src/agent/journal.cc
+++ b/src/agent/journal.cc
@@ -8,7 +8,7 @@
 namespace magpie::agent {
 namespace {
 constexpr std::uint64_t kSchemaVersion = 1;
-constexpr std::uint64_t kApplicationId = 0x6d616770;  // "magp"
+constexpr std::uint64_t kApplicationId = 0x6d616770;  // "magp" in ASCII
 
 JournalError::Kind KindOf(int code) {
   switch (code & 0xff) {
@@ -153,7 +153,7 @@
   insert.Bind(1, task.job.value).Bind(2, task.index).Step();
 }
 
-void Journal::DeleteJobResults(const JobId& job) {
+void Journal::DeleteCompletedTasks(const JobId& job) {
   Statement deletion(*this, "DELETE FROM done WHERE job = ?1");
   deletion.Bind(1, job.value).Step();
 }
--- a/src/agent/journal.h
+++ b/src/agent/journal.h
@@ -58,7 +58,7 @@
   void RecordCompletedTask(const TaskId& task);
   // Deletes the records of a job's completed tasks. Must be called only if none of the job's tasks
   // will be started again.
-  void DeleteJobResults(const JobId& job);
+  void DeleteCompletedTasks(const JobId& job);
 
  private:
   struct DatabaseCloser {
--- a/src/agent/worker.cc
+++ b/src/agent/worker.cc
@@ -5,10 +5,10 @@
 
 namespace magpie::agent {
 namespace {
-constexpr Seconds kMinHeartbeatGap{0.5};    // between two heartbeats
-constexpr Seconds kNextControllerDelay{1};  // before trying another controller
-constexpr Seconds kMaxRedirectDelay{0.5};   // before following a redirect
-constexpr double kHeartbeatJitter = 0.25;   // fraction of the interval, in either direction
+constexpr Seconds kMinHeartbeatGap{0.5};    // minimum time between two heartbeats
+constexpr Seconds kNextControllerDelay{1};  // wait before trying another controller
+constexpr Seconds kMaxRedirectDelay{0.5};   // maximum wait before following a redirect
+constexpr double kHeartbeatJitter = 0.25;   // maximum deviation, as a fraction of the interval
 constexpr int kOk = 200;
 constexpr int kBadRequest = 400;
 constexpr int kConflict = 409;
--- a/src/agent/worker.h
+++ b/src/agent/worker.h
@@ -37,7 +37,7 @@
   enum class Kind : std::uint8_t {
     kReadDescription,  // read the job's description, then call OnDescription
     kFetch,            // fetch the image, then call OnImage
-    kCancelFetch,      // cancel the image fetch; no task waits for it
+    kCancelFetch,      // cancel the fetch of the image: no task waits for it any more
     kEvictImage,       // delete the image from the cache
     kStart,            // start the process; call OnExit once the process has exited
     kSave,             // make the process save its progress and exit, then call OnExit
@@ -102,7 +102,7 @@
   // The heartbeat to send now; nullopt: it is not yet time for one, or one is in flight.
   std::optional<Outgoing> NextHeartbeat(Instant now);
   void OnAnswer(const Answer& answer, Instant now);
-  // The latest time for the next call of NextHeartbeat or CheckLease.
+  // The time by which NextHeartbeat or CheckLease must be called again.
   Instant NextWakeup() const;
 
   // --- direct commands
@@ -132,7 +132,7 @@
     kFetching,
     kRunning,
     kSaving,
-    kTerminating,  // killed, exit not yet confirmed
+    kTerminating,  // the process was killed, but its exit is not yet confirmed
     kEnded,
   };
   // One attempt of a task on this machine.
@@ -192,7 +192,7 @@
   DurableState state_;
   std::optional<Seconds> preemption_notice_;
   TaskRuns runs_;
-  TaskRuns terminating_;  // runs of earlier agent epochs whose processes may still be alive
+  TaskRuns terminating_;  // runs of earlier agent epochs; their processes may still be alive
   std::map<std::string, Image> images_;
   std::uint64_t image_uses_ = 0;
   std::vector<Effect> effects_;
--- a/src/metrics/service_metrics.h
+++ b/src/metrics/service_metrics.h
@@ -17,7 +17,7 @@
 class ServiceMetrics {
  public:
   struct Row {
-    std::uint64_t accepted = 0;   // jobs, including those accepted by earlier leaders
+    std::uint64_t accepted = 0;   // jobs accepted by this or an earlier leader
     std::uint64_t started = 0;    // jobs with a task that was reported as running
     std::uint64_t done = 0;       // jobs that have completed
     std::uint64_t cancelled = 0;  // jobs that were cancelled
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -33,7 +33,7 @@
   std::string zone;
   bool spot = false;
   State state = State::kStarting;
-  Seconds age;  // time since the request, as of the snapshot that the list shows
+  Seconds age;  // time from the request to the snapshot that the list shows
 };
 
 }  // namespace magpie
--- a/src/model/safety_checks.h
+++ b/src/model/safety_checks.h
@@ -17,7 +17,7 @@
   // --- conditions of the leader's transactions
   kLeaderKeyCondition,
   kEpochCondition,
-  kJobCondition,   // a binding is not written for a job that was cancelled meanwhile
+  kJobCondition,   // a binding is not written if its job was cancelled meanwhile
   kPageCondition,  // a page is replaced only at the revision that the leader last read or wrote
   kFinalCondition,
   // --- submissions and results
--- a/src/model/worker_messages.h
+++ b/src/model/worker_messages.h
@@ -18,9 +18,9 @@
 // Why a task is in TaskState::kEnded.
 enum class ExitReason {
   kNone,                  // the task has not ended
-  kDone,                  // completed
-  kStopped,               // stopped by command
-  kError,                 // failed
+  kDone,                  // the task has completed
+  kStopped,               // a command stopped the task
+  kError,                 // the task failed
   kInsufficientCapacity,  // start rejected: the free capacity of the machine is too small
   kBusy,                  // start rejected: another attempt of the task is on this machine
   kUnknown,               // start rejected: no such job or task
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -63,12 +63,12 @@
 }
 
 void HttpServer::Handle(const httplib::Request& request, httplib::Response& response) {
-  const HttpResponse answer = CallHandler({request.method, request.target, request.body});
-  response.status = answer.status;
-  if (answer.retry_after_s > 0)
-    response.set_header("Retry-After", std::to_string(answer.retry_after_s));
-  if (answer.close_if_busy && IsBusy()) RequestClose(response);
-  response.set_content(answer.body, "application/json");
+  const HttpResponse handler_response = CallHandler({request.method, request.target, request.body});
+  response.status = handler_response.status;
+  if (handler_response.retry_after_s > 0)
+    response.set_header("Retry-After", std::to_string(handler_response.retry_after_s));
+  if (handler_response.close_if_busy && IsBusy()) RequestClose(response);
+  response.set_content(handler_response.body, "application/json");
 }
 
 HttpResponse HttpServer::CallHandler(const HttpRequest& request) {
@@ -191,7 +191,7 @@
   std::lock_guard lock(mutex_);
   const Instant now = SteadyNow();
   if (!CloseIdleConnections(now)) return;
-  if (threads_.total == 0) StartThread();  // no thread could be started for lack of memory
+  if (threads_.total == 0) StartThread();  // no thread could be started, for lack of memory
   const std::uint64_t id = ++connections_.last_id;
   connections_.list.push_back({id, std::move(socket), false, now});
   const auto connection = std::prev(connections_.list.end());
@@ -254,7 +254,7 @@
     --threads_.waiting;
     if (count <= 0 || stopping_) continue;
     const auto found = connections_.by_id.find(event.data.u64);
-    if (found == connections_.by_id.end()) continue;  // closed in the meantime
+    if (found == connections_.by_id.end()) continue;  // the connection was closed in the meantime
     const auto connection = found->second;
     connection->busy = true;
     if (threads_.waiting == 0 && threads_.total < limits_.threads) StartThread();
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -28,7 +28,7 @@
 // A request as passed to handlers.
 struct HttpRequest {
   std::string method;
-  std::string path;
+  std::string path;  // including the query
   std::string body;
 };
 
@@ -37,7 +37,7 @@
   int status = 200;
   std::string body;
   std::uint32_t retry_after_s = 0;  // value of the Retry-After header; 0: no header
-  // Close the connection if more than Limits::keep_alive_connections are open.
+  // Whether to close the connection if more than Limits::keep_alive_connections are open.
   bool close_if_busy = false;
 };
 
@@ -65,7 +65,7 @@
   // address cannot be used, or epoll is not available.
   bool Start(const Address& address);
   int port() const { return port_; }
-  // Closes all connections and waits for the requests in progress.
+  // Shuts down all connections, waits for the requests in progress and ends all threads.
   void Shutdown();
 
  private:
@@ -77,7 +77,7 @@
   };
   using ConnectionList = std::list<Connection>;
   struct Connections {
-    ConnectionList list;  // longest idle first
+    ConnectionList list;  // ordered by idle time, longest first
     std::unordered_map<std::uint64_t, ConnectionList::iterator> by_id;
     std::uint64_t last_id = 0;
   };
--- a/src/protocol/codec.h
+++ b/src/protocol/codec.h
@@ -40,14 +40,14 @@
 
 // Parses a job as submitted by a user; the submission time is not set.
 JobSpec JobFromUser(const Json& body);
-// Conversion to and from the format of stored job records.
+// Convert a job to and from the format of stored job records.
 Json JobToRecord(const JobSpec& spec);
 JobSpec JobFromRecord(const Json& record);
 
 // The state of a job as reported to users.
 struct JobStatusReply {
   JobId id;
-  std::string state;  // one of the words below
+  std::string state;  // kQueued, kRunning, kDone or kCancelled
   std::uint32_t done = 0;
   std::uint32_t running = 0;
 };
--- a/src/worker/worker_client.cc
+++ b/src/worker/worker_client.cc
@@ -12,7 +12,7 @@
 // Many probes are sent at once when machines fail, and most of these machines do not respond. A
 // live machine accepts a connection within milliseconds.
 constexpr Seconds kProbeConnectTimeout{0.4};
-constexpr std::size_t kNoIdleConnections = 0;  // there are many workers, and calls to each are rare
+constexpr std::size_t kNoIdleConnections = 0;  // many workers, rare calls to any one of them
 constexpr int kExecuted = 200;
 constexpr int kNotExecuted = 409;  // token or agent epoch mismatch; the body is a heartbeat too
 
--- a/tests/agent_journal_test.cc
+++ b/tests/agent_journal_test.cc
@@ -65,7 +65,7 @@
     journal.RecordCompletedTask({{"j-1"}, 4});
     journal.RecordCompletedTask({{"j-1"}, 4});
     journal.RecordCompletedTask({{"j-2"}, 0});
-    journal.DeleteJobResults({"j-2"});
+    journal.DeleteCompletedTasks({"j-2"});
   }
   Journal journal(DefaultOptions());
   const Worker::DurableState state = journal.Load();
--- a/tests/agent_test.cc
+++ b/tests/agent_test.cc
@@ -207,7 +207,8 @@
       << "a repeated run command is ignored after the exit too";
   ExchangeHeartbeat(OkAnswer(1, {ForgetCommand(TaskOf(0)), RunCommand(TaskOf(0))}));
   worker.OnDescription({"j-1"}, MakeDescription());
-  EXPECT_EQ(StateOf(TaskOf(0)), TaskState::kRunning) << "forgotten first, then started again";
+  EXPECT_EQ(StateOf(TaskOf(0)), TaskState::kRunning)
+      << "the task is forgotten first and then started again";
 }
 
 TEST_F(WorkerTest, ReportsStopOnlyAfterProcessExits) {
@@ -216,7 +217,7 @@
   EXPECT_EQ(TakeEffectCount(Kind::kKill), 1) << "the task has no checkpoints";
   EXPECT_EQ(StateOf(TaskOf(0)), TaskState::kRunning);
   ExchangeHeartbeat(OkAnswer(1, {StopCommand(TaskOf(0), 0)}));
-  EXPECT_EQ(TakeEffectCount(Kind::kKill), 0) << "already killed";
+  EXPECT_EQ(TakeEffectCount(Kind::kKill), 0) << "the process was already killed";
   worker.OnExit(TaskOf(0), {1}, Outcome::kKilled);
   EXPECT_EQ(ReasonOf(TaskOf(0)), ExitReason::kStopped);
   EXPECT_FALSE(FindStatus(TaskOf(0))->saved);
@@ -232,7 +233,8 @@
   ExchangeHeartbeat(OkAnswer(
       1, {StopCommand(TaskOf(0), 2), StopCommand(TaskOf(1), 2), StopCommand(TaskOf(2), 1.9)}));
   EXPECT_EQ(StateOf(TaskOf(0)), TaskState::kSaving);
-  EXPECT_EQ(TakeEffectCount(Kind::kKill), 1) << "only the task with too short a grace period";
+  EXPECT_EQ(TakeEffectCount(Kind::kKill), 1)
+      << "only the task with too short a grace period is killed";
   worker.OnExit(TaskOf(0), {1}, Outcome::kSaved);
   EXPECT_TRUE(FindStatus(TaskOf(0))->saved);
   ExchangeHeartbeat(OkAnswer(1, {StopCommand(TaskOf(1), 5)}));
@@ -276,7 +278,7 @@
   worker.OnImage("img", true);  // the fetch completed before the cancellation took effect
   ExchangeHeartbeat(OkAnswer(1, {RunCommand(TaskOf(2))}));
   worker.OnDescription({"j-1"}, MakeDescription());
-  EXPECT_EQ(TakeEffectCount(Kind::kFetch), 1) << "fetched again";
+  EXPECT_EQ(TakeEffectCount(Kind::kFetch), 1) << "the image is fetched again";
   worker.OnImage("img", false);
   EXPECT_EQ(ReasonOf(TaskOf(2)), ExitReason::kError);
 }
@@ -289,10 +291,10 @@
   worker.OnExit(TaskOf(0, "j-3"), {1}, Outcome::kDone);
   ExchangeHeartbeat(OkAnswer(1, {RunCommand(TaskOf(0, "j-4"))}));
   worker.OnDescription({"j-4"}, MakeDescription(2, "four"));
-  std::vector<std::string> dropped;
+  std::vector<std::string> evicted;
   for (const Effect& effect : worker.TakeEffects())
-    if (effect.kind == Kind::kEvictImage) dropped.push_back(effect.image);
-  EXPECT_EQ(dropped, (std::vector<std::string>{"two", "three"}));
+    if (effect.kind == Kind::kEvictImage) evicted.push_back(effect.image);
+  EXPECT_EQ(evicted, (std::vector<std::string>{"two", "three"}));
 }
 
 TEST_F(WorkerTest, DirectCommandsRequireTokenAndEpochAndRenewNoLease) {
@@ -303,11 +305,11 @@
   EXPECT_EQ(worker.OnDirectCommand(FencingToken{4}, 1, {RunCommand(TaskOf(0))}, now).status, 409);
   EXPECT_EQ(worker.OnDirectCommand(FencingToken{5}, 2, {RunCommand(TaskOf(0))}, now).status, 409);
   EXPECT_TRUE(worker.Inspect().tasks.empty());
-  const DirectCommandReply answer =
+  const DirectCommandReply reply =
       worker.OnDirectCommand(FencingToken{6}, 1, {RunCommand(TaskOf(0))}, now + Seconds{20});
-  EXPECT_EQ(answer.status, 200);
-  EXPECT_EQ(answer.heartbeat.tasks.size(), 1U);
-  EXPECT_EQ(answer.heartbeat.token.value, 6U);
+  EXPECT_EQ(reply.status, 200);
+  EXPECT_EQ(reply.heartbeat.tasks.size(), 1U);
+  EXPECT_EQ(reply.heartbeat.token.value, 6U);
   worker.CheckLease(renewed + Seconds{30.1});
   EXPECT_EQ(worker.agent_epoch(), 2U);
   EXPECT_EQ(worker.OnDirectCommand(FencingToken{6}, 1, {RunCommand(TaskOf(1))}, now).status, 409)
@@ -318,7 +320,7 @@
 // continuously.
 TEST_F(WorkerTest, HigherTokenTriggersHeartbeatOncePerHalfLease) {
   ExchangeHeartbeat(OkAnswer(1));
-  ExchangeHeartbeat(OkAnswer(1));  // reports token 1
+  ExchangeHeartbeat(OkAnswer(1));  // this heartbeat reports token 1
   worker.OnDirectCommand(FencingToken{2}, 1, {}, now);
   EXPECT_GT(worker.NextWakeup(), now + Seconds{0.5}) << "token 1 was reported just now";
   worker.OnDirectCommand(FencingToken{3}, 1, {}, now + Seconds{15});
--- a/tests/codec_test.cc
+++ b/tests/codec_test.cc
@@ -185,7 +185,7 @@
   }
   char byte = 0;
   for (const int socket : slow_sockets)
-    EXPECT_LE(recv(socket, &byte, 1, 0), 0) << "closed without a response";
+    EXPECT_LE(recv(socket, &byte, 1, 0), 0) << "the connection is closed without a response";
   HttpClient client({"127.0.0.1", server.port()}, {1}, {5}, 1);
   EXPECT_EQ(client.Post("/x", "small").body, "small") << "other requests are still served";
   for (const int socket : slow_sockets) close(socket);
@@ -225,12 +225,12 @@
   std::vector<std::string> received;
   std::thread peer([&] {
     const int socket = accept(listener, nullptr, nullptr);
-    const std::string answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}";
+    const std::string response = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}";
     for (int i = 0; i < 3; ++i) {
       std::array<char, 4096> buffer{};
       const ssize_t count = recv(socket, buffer.data(), buffer.size(), 0);
       received.emplace_back(buffer.data(), static_cast<std::size_t>(std::max<ssize_t>(count, 0)));
-      send(socket, answer.data(), answer.size(), MSG_NOSIGNAL);
+      send(socket, response.data(), response.size(), MSG_NOSIGNAL);
     }
     close(socket);
   });
