--- a/src/model/worker_messages.h
+++ b/src/model/worker_messages.h
@@ -18,9 +18,9 @@
 // Why a task is in TaskState::kEnded.
 enum class ExitReason {
   kNone,                  // the task has not ended
-  kDone,                  // completed
-  kStopped,               // stopped by command
-  kError,                 // failed
+  kDone,                  // the task has completed
+  kStopped,               // a command stopped the task
+  kError,                 // the task failed
   kInsufficientCapacity,  // start rejected: the free capacity of the machine is too small
   kBusy,                  // start rejected: another attempt of the task is on this machine
   kUnknown,               // start rejected: no such job or task
@@ -49,7 +49,7 @@
   std::vector<TaskStatus> tasks;
 };
 
-// Start a task, stop it, or remove an ended task from the heartbeats.
+// What the worker must do: start a task, stop it, or remove an ended task from its heartbeats.
 enum class CommandKind { kRun, kStop, kForget };
 
 // A command on one attempt of a task.
