--- a/src/load_test/checker.cc
+++ b/src/load_test/checker.cc
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::uint64_t kMaxReportedPerRule = 5;
-constexpr double kRoundingTolerance = 1e-6;  // for sums of floating-point resources
+constexpr double kRoundingTolerance = 1e-6;  // of summed floating-point resources
 
 std::string TaskIdText(const TaskId& task) { return protocol::TaskIdToText(task); }
 
@@ -110,7 +110,7 @@
   }
 }
 
-// Called before the task is added to the tasks of its job.
+// Called before the task is counted in `job.tasks_by_zone`.
 void Checker::CheckPlacement(const Job& job, const TaskId& task, const Machine& machine,
                              Instant at) {
   const JobSpec& spec = job.spec;
@@ -191,8 +191,9 @@
                "polls for " + event.job.value + " fail while others are answered");
 }
 
-// An answer must not contradict a final state that was received before its request was sent. A
-// final state that was received while the request was in flight can be newer than the answer.
+// A response must not contradict a final state that a user received earlier. An exception is a
+// response that reports the job as active, if the final state was received while the request was in
+// flight: that state can be newer than the response.
 void Checker::CheckFinal(Job& job, const UserRequestAnswered& event, Instant at) {
   const std::string& id = event.job.value;
   if (job.accepted && event.state == ReportedState::kUnknown)
--- a/src/load_test/checker.h
+++ b/src/load_test/checker.h
@@ -1,5 +1,6 @@
-// Checks a history of events against the rules of PROTOCOL ("Rules"). Events are passed in order,
-// and only the state that later checks need is kept, which bounds the memory of long runs.
+// Checks a history of events against the rules of PROTOCOL ("Rules"). The caller passes the events
+// in order. The checker does not store them: it keeps only the state that later checks need, with
+// one entry per submitted job.
 //
 // Not thread-safe.
 #pragma once
@@ -48,14 +49,16 @@
   struct Options {
     std::vector<Team> teams;
     Seconds cancel_timeout{60};
-    // A job is lost if its polls fail for so long while most polls are answered.
+    // An accepted job counts as lost if its polls fail for this long while most polls of all jobs
+    // are answered.
     Seconds lost_timeout{90};
   };
 
   explicit Checker(Options options);
 
   void Observe(const Event& event);
-  // Ends the run: checks tasks that are still on machines, and that any task was started.
+  // Ends the run: reports tasks of cancelled jobs that are still on machines after the cancel
+  // timeout, and reports if jobs were accepted but no task was started.
   void Finish(Instant at);
 
   // The first few violations of each rule.
@@ -87,9 +90,10 @@
     std::optional<Instant> failing_since;  // when the first of the latest failed polls was sent
     bool loss_reported = false;
   };
-  // The polls of one second. Seconds older than `lost_timeout` are dropped.
+  // The polls of all jobs that were answered or failed within one second. Counts older than
+  // `lost_timeout` are dropped.
   struct PollCounts {
-    double second = 0;  // a whole number
+    double second = 0;  // the time, rounded down to a whole second
     std::uint64_t answered = 0;
     std::uint64_t failed = 0;
   };
@@ -114,7 +118,7 @@
   std::map<std::string, Team> teams_;
   std::unordered_map<std::string, Machine> machines_;
   std::unordered_map<std::string, Job> jobs_;
-  std::map<std::string, Resources> usage_;  // by team, of tasks on machines
+  std::map<std::string, Resources> usage_;  // of all tasks on machines, by team
   std::deque<PollCounts> polls_;
   std::uint64_t starts_ = 0;
   std::uint64_t accepted_ = 0;
--- a/src/load_test/cloud.cc
+++ b/src/load_test/cloud.cc
@@ -61,7 +61,7 @@
       options_.max_machines - std::min<std::size_t>(options_.max_machines, machines_.size());
   const std::size_t count = std::min<std::size_t>(request.count, free_machines);
   if (count == 0) {
-    rentals_by_name_.erase(rental);  // a later request with the same name may succeed
+    rentals_by_name_.erase(rental);  // so that a later request with this name can succeed
     return {CloudStatus::kNoCapacity, {}};
   }
   for (std::size_t i = 0; i < count; ++i)
--- a/src/load_test/cloud.h
+++ b/src/load_test/cloud.h
@@ -45,10 +45,10 @@
  public:
   struct Options {
     std::vector<MachineType> types;
-    std::uint32_t max_machines = 1000;  // at the same time
+    std::uint32_t max_machines = 1000;  // rented at the same time
     double requests_per_second = 10;
     Seconds list_lag{6};
-    double boot_spread = 0.4;  // a boot takes the stated time, less or more up to this fraction
+    double boot_spread = 0.4;  // maximum deviation from the type's boot time, as a fraction
     std::uint64_t seed = 1;
   };
   struct Hooks {
@@ -66,7 +66,8 @@
   // A repeated name returns the machines of the first request with that name.
   RentalResult Provision(const RentalRequest& request, Instant now);
   CloudStatus Release(const std::vector<MachineId>& machines);
-  // The machines as of `list_lag` ago, ordered by name, from the first name after `after`.
+  // One page of the machine list, ordered by name: at most `page` machines with names after
+  // `after`, in the state that they had `list_lag` ago. `more` is set if further machines follow.
   struct List {
     std::vector<ListedMachine> machines;
     bool more = false;
@@ -74,7 +75,7 @@
   List ListAfter(const MachineId& after, std::size_t page, Instant now);
   // Adds machines that have already booted.
   void AddBooted(const RentalRequest& request, Instant now);
-  // Boots machines whose boot time has passed, and takes the snapshots that lists are served from.
+  // Boots machines after their boot time, and takes the snapshots from which ListAfter reads.
   void Advance(Instant now);
   // Marks a machine as failed.
   void Fail(const MachineId& machine, Instant now);
--- a/src/load_test/cloud_server.h
+++ b/src/load_test/cloud_server.h
@@ -18,7 +18,7 @@
     std::uint64_t released = 0;
   };
 
-  // `cloud` must outlive the server and is used only on the loop's thread from now on.
+  // `cloud` must outlive the server. Once the loop runs, only the loop's thread uses `cloud`.
   CloudServer(EventLoop& loop, Cloud& cloud);
 
   // Returns no address if it cannot listen.
--- a/src/load_test/codec.cc
+++ b/src/load_test/codec.cc
@@ -167,7 +167,7 @@
   return {{"branches", std::move(list)}, {"truncated", more}};
 }
 
-agent::Answer AnswerFromReply(int status, const std::string& body) {
+agent::Answer AnswerFromResponse(int status, const std::string& body) {
   constexpr int kOk = 200;
   constexpr int kMisdirected = 421;
   agent::Answer answer;
@@ -202,7 +202,7 @@
   return body;
 }
 
-ReportedState StateFromAnswer(int status, const std::string& body) {
+ReportedState JobStateFromResponse(int status, const std::string& body) {
   if (status == 404) return ReportedState::kUnknown;
   if (status == 400 || status == 422) return ReportedState::kRejected;
   if (status != 200 && status != 201) return ReportedState::kNoAnswer;
--- a/src/load_test/codec.h
+++ b/src/load_test/codec.h
@@ -1,6 +1,6 @@
-// JSON of the peers of controllers: requests and responses of the key-value service and the cloud,
-// and responses to workers and users. Wire names that protocol/codec does not have are defined only
-// here. Malformed input throws protocol::InvalidMessage.
+// Converts the JSON that the simulated key-value service, cloud, workers and users exchange with
+// controllers. JSON keys that protocol/codec does not define are string literals in codec.cc.
+// Malformed requests throw protocol::InvalidMessage; malformed responses count as failed requests.
 #pragma once
 
 #include <optional>
@@ -19,6 +19,7 @@
 using protocol::Json;
 
 // --- Common
+
 // The value of a field of a query such as "/kv?under=c/&page=5", if the field is present.
 std::optional<std::string> QueryField(const std::string& target, std::string_view field);
 std::optional<std::uint64_t> QueryCount(const std::string& target, std::string_view field);
@@ -40,8 +41,9 @@
 Json MachinesToJson(const std::vector<ListedMachine>& machines, bool more);
 
 // --- Workers
+
 // Parses a controller's response to a heartbeat.
-agent::Answer AnswerFromReply(int status, const std::string& body);
+agent::Answer AnswerFromResponse(int status, const std::string& body);
 struct DirectCommands {
   std::optional<FencingToken> token;
   std::optional<std::uint64_t> agent_epoch;
@@ -51,7 +53,7 @@
 
 // --- Users
 Json JobToRequest(const JobSpec& spec);
-// The job state in a response. A response that violates the protocol counts as no answer.
-ReportedState StateFromAnswer(int status, const std::string& body);
+// The job state that a response reports; kNoAnswer if its status or body is unexpected.
+ReportedState JobStateFromResponse(int status, const std::string& body);
 
 }  // namespace magpie::load_test
--- a/src/load_test/controller_group.h
+++ b/src/load_test/controller_group.h
@@ -14,7 +14,7 @@
 struct ControllerUsage {
   double leader_cpu_s = 0;
   double follower_cpu_s = 0;
-  double leader_s = 0;  // time with a leader
+  double leader_s = 0;  // time during which there was a leader
   double leader_peak_mb = 0;
   double follower_peak_mb = 0;
 };
@@ -26,16 +26,17 @@
   // Returns false if a controller could not be started.
   bool StartAll();
   void KillAll();
-  // Kills the leader or the first running follower, and returns its index for Restart, if there is
-  // one.
+  // Kills the controller with the label `leader` or, without `kill_leader`, the first running
+  // follower. Returns its index for Restart, or nothing if no controller was killed.
   std::optional<std::size_t> Kill(const std::string& leader, bool kill_leader);
   void Restart(std::size_t index);
   // Restarts controllers that exited without being killed, and counts them.
   void RestartUnexpectedlyEnded();
 
-  // Sets the start of the first interval that Measure accounts for.
+  // Sets the time from which Measure counts the time with a leader.
   void BeginMeasuring(Instant now) { last_measured_ = now; }
-  // Adds each controller's usage since the last call to that of the leader or of the followers.
+  // Adds the usage of each controller since the last call to the usage of the leader or of the
+  // followers. `leader` is the label of the leader; empty if there is none.
   void Measure(const std::string& leader, Instant now);
   const ControllerUsage& usage() const { return usage_; }
 
@@ -48,7 +49,7 @@
   struct Member {
     ControllerPlan plan;
     std::unique_ptr<ControllerProcess> process;
-    double cpu_s = 0;  // at the last call of Measure
+    double cpu_s = 0;  // total at the last call of Measure
     bool expected_to_run = true;
   };
 
--- a/src/load_test/controller_process.cc
+++ b/src/load_test/controller_process.cc
@@ -28,7 +28,7 @@
   return address.host + ":" + std::to_string(address.port);
 }
 
-// A field of /proc/<pid>/status in the unit of that file; 0 if it is missing.
+// The number in a field of /proc/<pid>/status, in the unit of that file; 0 without the field.
 double StatusField(const std::string& status, const std::string& name) {
   const auto field_start = status.find("\n" + name + ":");
   if (field_start == std::string::npos) return 0;
@@ -52,7 +52,7 @@
   if (name_end == std::string::npos) return std::nullopt;
   std::istringstream fields(stat.substr(name_end + 2));
   std::string skipped;
-  constexpr int kFieldsBeforeCpuTimes = 11;  // from the state to the major faults of children
+  constexpr int kFieldsBeforeCpuTimes = 11;  // from the state to the page faults of children
   for (int i = 0; i < kFieldsBeforeCpuTimes; ++i) fields >> skipped;
   double user = 0;
   double system = 0;
--- a/src/load_test/controller_process.h
+++ b/src/load_test/controller_process.h
@@ -21,9 +21,9 @@
 // Returns nothing if there is no such process.
 std::optional<ProcessUsage> UsageOf(pid_t pid);
 
-// Reserves a loopback port for a process. Sockets that request any free port get another one, but a
-// server that sets SO_REUSEADDR, as controllers do, can listen on it, also again after it was
-// killed.
+// Reserves a loopback port for a server process by binding a socket that does not listen. Sockets
+// that request any free port get another one. A server that sets SO_REUSEADDR, as controllers do,
+// can listen on the reserved port, also when it is restarted after a kill.
 class ReservedPort {
  public:
   ReservedPort();
@@ -64,9 +64,9 @@
   // Whether the process is running. Reaps it if it has exited.
   bool running();
   pid_t pid() const { return pid_; }
-  // The sum over this start and all earlier ones.
+  // Processor time of the current process and of those that were started earlier.
   double cpu_s() const;
-  // ": " and the last line of the log; empty if the log is empty.
+  // The last line of the log that is not empty, preceded by ": "; empty if there is none.
   std::string last_log_line() const;
 
  private:
--- a/src/load_test/event_loop.cc
+++ b/src/load_test/event_loop.cc
@@ -33,10 +33,10 @@
 using Executor = asio::io_context::executor_type;
 
 constexpr unsigned kHttp11 = 11;
-// Large, as answers to watches have no size limit.
+// Large, because responses to watches have no size limit.
 constexpr std::uint64_t kMaxBodyBytes = 8UL * 1024 * 1024;
-constexpr Seconds kIdleTimeout{600};  // of a connection between requests
-constexpr Seconds kReplyTimeout{90};  // of a handler; then the connection is closed
+constexpr Seconds kIdleTimeout{600};  // for a client to send a request or read a response
+constexpr Seconds kReplyTimeout{90};  // for a handler to reply; then the connection is closed
 
 std::chrono::nanoseconds DurationOf(Seconds seconds) {
   return std::chrono::duration_cast<std::chrono::nanoseconds>(
@@ -82,7 +82,7 @@
   std::shared_ptr<State> state_;
 };
 
-// A reply that the handler gives before it returns, or later.
+// Holds the reply to a request. The handler sets it before it returns, or later.
 struct PendingReply {
   explicit PendingReply(const asio::any_io_executor& executor) : wake(executor) {
     wake.expires_after(DurationOf(kReplyTimeout));
@@ -145,7 +145,7 @@
       while (!state->closed && co_await Answer(*state, stream, buffer)) {
       }
     } catch (const boost::system::system_error&) {
-      // The client closed the connection.
+      // The connection was closed or timed out.
     }
     state->open_sockets.erase(&stream.socket());
   }
@@ -253,7 +253,7 @@
       state.stream = std::make_shared<beast::tcp_stream>(state.io);
       state.buffer.clear();
     }
-    // Keeps the stream alive if CloseStream is called meanwhile.
+    // Keeps the stream alive if CloseStream is called during the exchange.
     const std::shared_ptr<beast::tcp_stream> stream = state.stream;
     stream->expires_after(DurationOf(timeout));
     if (!stream->socket().is_open()) {
--- a/src/load_test/event_loop.h
+++ b/src/load_test/event_loop.h
@@ -1,8 +1,9 @@
 // An event loop on one thread: HTTP servers and clients on loopback, and timers. Only event_loop.cc
 // includes Boost.Asio and Boost.Beast.
 //
-// Handlers run on the loop's thread and must not block. A loop and the objects that it creates are
-// used on its thread; only Post, Stop and Listen may be called from other threads.
+// Handlers run on the loop's thread and must not block. While a loop runs, the loop and the objects
+// that it creates are used on its thread; only Post, Stop, Listen and MakeTimer may be called from
+// other threads.
 #pragma once
 
 #include <atomic>
@@ -16,7 +17,7 @@
 
 namespace magpie::load_test {
 
-// Messages and bytes on the wire with HTTP headers, in and out as seen by this process.
+// Counts of HTTP messages and of their bytes with headers; "in": received by this process.
 struct Traffic {
   std::atomic<std::uint64_t> messages_in{0};
   std::atomic<std::uint64_t> bytes_in{0};
@@ -62,11 +63,12 @@
     virtual void Set(Instant at) = 0;
   };
   std::unique_ptr<Timer> MakeTimer(std::function<void()> callback);
-  // Calls back once, if the loop is still running then.
+  // Calls back once after the delay, if the loop is still running then.
   void After(Seconds delay, std::function<void()> callback);
 
-  // Answers requests until it is destroyed, which closes all its connections. A handler replies at
-  // most once, possibly later. Without a reply the connection is closed after a timeout.
+  // A listener answers requests until its destruction, which closes all its connections. A handler
+  // replies to a request at most once, before or after it returns. Without a reply, the connection
+  // is closed after a timeout.
   using ReplyCallback = std::function<void(HttpReply)>;
   using Handler = std::function<void(const HttpCall&, ReplyCallback)>;
   class Listener {
--- a/src/load_test/fault_schedule.h
+++ b/src/load_test/fault_schedule.h
@@ -16,7 +16,7 @@
 
 class FaultSchedule {
  public:
-  // The objects that faults are injected into. All must outlive the schedule.
+  // The objects in which faults are injected. All must outlive the schedule.
   struct Targets {
     ControllerGroup& controllers;
     LeadershipLog& leadership;
@@ -27,7 +27,7 @@
 
   explicit FaultSchedule(Targets targets) : targets_(targets) {}
 
-  // Schedules the faults at their offsets from `from`.
+  // Schedules each fault at its offset from the time `from`.
   void Schedule(const std::vector<Fault>& faults, Instant from);
   // Runs all actions whose time has passed.
   void RunDue(Instant now);
--- a/src/load_test/history.h
+++ b/src/load_test/history.h
@@ -44,19 +44,19 @@
   kActive,  // queued or running
   kDone,
   kCancelled,
-  kUnknown,   // 404
-  kRejected,  // 400 or 422 to a submission
+  kUnknown,   // 404: no such job
+  kRejected,  // 400 or 422
   kNoAnswer,  // any other status, or no response in time
 };
 
 enum class UserRequest : std::uint8_t { kSubmit, kPoll, kCancel };
 
-// A user's request and its response.
+// The response to a user's request, or the lack of one.
 struct UserRequestAnswered {
   JobId job;
   UserRequest request = UserRequest::kPoll;
   ReportedState state = ReportedState::kNoAnswer;
-  Instant sent;  // the time of the request
+  Instant sent;  // when the request was sent
 };
 
 // The first attempt to cancel a job.
--- a/src/load_test/job_ledger.cc
+++ b/src/load_test/job_ledger.cc
@@ -5,9 +5,9 @@
 namespace magpie::load_test {
 namespace {
 
-// Maps a task to a number from 0 to 1.
+// Maps a task to a number in [0, 1).
 double HashToUnitInterval(const JobId& job, std::uint32_t task) {
-  // Odd, 2^64 divided by the golden ratio: spreads adjacent numbers.
+  // 2^64 divided by the golden ratio, as an odd number: maps adjacent numbers to distant hashes.
   constexpr std::uint64_t kHashMultiplier = 0x9e3779b97f4a7c15;
   const std::uint64_t task_hash =
       (std::hash<std::string>()(job.value) + task + 1) * kHashMultiplier;
--- a/src/load_test/job_ledger.h
+++ b/src/load_test/job_ledger.h
@@ -1,5 +1,5 @@
-// The job descriptions that workers read. Users upload them to a store outside the controllers,
-// from which workers fetch them.
+// Simulates the store of job descriptions outside the controllers: users upload descriptions, and
+// workers fetch them.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +17,8 @@
 // A job as its user submitted it, and the actual run time of its tasks.
 struct SubmittedJob {
   JobSpec spec;
-  Seconds run_time;            // mean of its tasks, without the image fetch; 0: until stopped
+  // Mean of its tasks, without the image fetch. 0: tasks run until they are stopped.
+  Seconds run_time;
   double run_time_spread = 0;  // maximum deviation of tasks, as a fraction of run_time
 };
 
--- a/src/load_test/latency.cc
+++ b/src/load_test/latency.cc
@@ -10,7 +10,7 @@
 using Axis = bh::axis::regular<double, bh::axis::transform::log>;
 
 constexpr unsigned kBinCount = 350;
-constexpr double kMinSeconds = 1e-4;  // with kBinCount bins each is 5 % wide
+constexpr double kMinSeconds = 1e-4;  // with kBinCount bins, each bin is 5 % wide
 constexpr double kMaxSeconds = 3e3;
 
 }  // namespace
--- a/src/load_test/latency.h
+++ b/src/load_test/latency.h
@@ -20,7 +20,7 @@
   void Add(Seconds latency);
   std::uint64_t count() const { return count_; }
   Seconds worst() const { return worst_; }
-  // Within 5 %; 0 without samples.
+  // The quantile, with an error of at most 5 % from 0.1 ms to 50 minutes; 0 without samples.
   Seconds Quantile(double fraction) const;
   // Count, median, 99th percentile and maximum, in seconds.
   nlohmann::json ToJson() const;
--- a/src/load_test/leadership_log.h
+++ b/src/load_test/leadership_log.h
@@ -1,4 +1,5 @@
-// The leaders of a run, and the time from each leader's kill to the next epoch and task start.
+// Records the leaders of a run, and the time from each kill of a leader to the next epoch and the
+// next task start.
 #pragma once
 
 #include <mutex>
@@ -15,7 +16,7 @@
 // Detects takeovers by the epochs that leaders write. Thread-safe.
 class LeadershipLog {
  public:
-  // `recorder` must outlive it.
+  // `recorder` must outlive the log.
   explicit LeadershipLog(Recorder& recorder) : recorder_(recorder) {}
 
   // Called for each committed transaction.
--- a/src/load_test/networked_worker.cc
+++ b/src/load_test/networked_worker.cc
@@ -47,7 +47,7 @@
   options.agent.heartbeat_interval = worker_context_.heartbeat_interval;
   options.agent.lease = worker_context_.lease;
   for (const Node& node : worker_context_.nodes) options.agent.nodes.push_back(node.label);
-  // Workers start at different nodes of the same list.
+  // Rotates the list of controllers, so that workers send their first heartbeats to different ones.
   const std::size_t number = std::hash<std::string>()(machine_.id.value) + incarnation_;
   std::rotate(options.agent.nodes.begin(),
               options.agent.nodes.begin() +
@@ -92,7 +92,7 @@
 }
 
 void NetworkedWorker::OnRequest(const HttpCall& call, const EventLoop::ReplyCallback& reply) {
-  if (unreachable_ || !worker_) return;  // the request times out
+  if (unreachable_ || !worker_) return;  // without a reply, the request times out
   const Instant now = EventLoop::Now();
   try {
     if (call.target == protocol::kInspectPath) {
@@ -155,7 +155,7 @@
 void NetworkedWorker::OnOutcome(const HttpOutcome& outcome) {
   if (!worker_) return;
   const agent::Answer answer =
-      outcome.answered ? AnswerFromReply(outcome.status, outcome.body) : agent::Answer{};
+      outcome.answered ? AnswerFromResponse(outcome.status, outcome.body) : agent::Answer{};
   if (answer.kind == agent::Answer::Kind::kRedirected) ++worker_context_.redirects;
   if (answer.kind == agent::Answer::Kind::kFailed) ++worker_context_.failed_heartbeats;
   worker_->OnAnswer(answer, EventLoop::Now());
--- a/src/load_test/networked_worker.h
+++ b/src/load_test/networked_worker.h
@@ -22,19 +22,20 @@
   Address address;
 };
 
-// Settings and counters that all workers of a run share. All loops add to the counters.
+// Settings and counters that all workers of a run share. Workers on several threads increment the
+// counters at the same time.
 struct WorkerContext {
   std::vector<Node> nodes;
   std::vector<MachineType> types;
   Seconds heartbeat_interval{3};
   Seconds lease{45};
   std::uint64_t seed = 1;
-  // Heartbeats and their responses, by node.
+  // Traffic of heartbeats and their responses, by index in `nodes`.
   std::vector<std::unique_ptr<Traffic>> heartbeats;
-  // Direct commands and their responses.
+  // Traffic of direct commands, probes and their responses.
   Traffic commands;
   std::atomic<std::uint64_t> redirects{0};
-  std::atomic<std::uint64_t> rejected_commands{0};  // direct commands answered with 409
+  std::atomic<std::uint64_t> rejected_commands{0};  // direct commands answered with 400 or 409
   std::atomic<std::uint64_t> failed_heartbeats{0};  // no response, or an unexpected status
 };
 
--- a/src/load_test/rate_limit.h
+++ b/src/load_test/rate_limit.h
@@ -1,4 +1,5 @@
-// A token bucket whose burst is a number of seconds of its rate.
+// A token bucket. Its capacity is the number of tokens that its rate yields in the time `burst`,
+// but at least 1.
 #pragma once
 
 #include <algorithm>
--- a/src/load_test/recorder.cc
+++ b/src/load_test/recorder.cc
@@ -39,7 +39,7 @@
   if (first_start_from_ && !first_start_ && at >= *first_start_from_) first_start_ = at;
   const auto job = jobs_.find(event.task.job.value);
   if (job == jobs_.end() || event.task.index >= job->second.started.size()) return;
-  if (job->second.started[event.task.index]) return;  // a later attempt
+  if (job->second.started[event.task.index]) return;  // only the first attempt counts
   job->second.started[event.task.index] = true;
   if (!measuring_) return;
   const Seconds took = at - job->second.submitted;
--- a/src/load_test/recorder.h
+++ b/src/load_test/recorder.h
@@ -34,7 +34,8 @@
   void RecordAcceptance(Seconds took);
   // Drops the latencies recorded so far.
   void BeginMeasuring();
-  // Awaits the first task start after `from`, which shows that a new leader assigns tasks.
+  // Makes first_start_since return the time of the first task start from `from` on, once there is
+  // one. This start shows that a new leader binds tasks.
   void AwaitFirstStart(Instant from);
   std::optional<Instant> first_start_since();
 
@@ -44,7 +45,8 @@
   void Finish();
 
   struct Statistics {
-    nlohmann::json start_by_class;  // from the first submission to a task's first start
+    // Latencies from the first submission of a job to the first start of each of its tasks.
+    nlohmann::json start_by_class;
     nlohmann::json start;
     nlohmann::json accept;
     std::uint64_t started = 0;
--- a/src/load_test/results.h
+++ b/src/load_test/results.h
@@ -48,7 +48,8 @@
   Sample begin;
   Sample end;
   Recorder::Statistics statistics;
-  // Taken after the drain: when no job is open, or after the drain timeout.
+  // The following values are taken at the end of the run. With a limit on jobs, the run ends when
+  // all jobs have ended or after the drain timeout; without one, it ends with the measurement.
   Users::Counts users;
   std::size_t open_jobs = 0;
   std::size_t keys = 0;
--- a/src/load_test/run_setup.cc
+++ b/src/load_test/run_setup.cc
@@ -12,8 +12,8 @@
 namespace {
 
 constexpr Seconds kHealthCheckInterval{0.1};
-constexpr Seconds kHealthTimeout{60};          // for all controllers after their start
-constexpr Seconds kMachineIdleTimeout{86400};  // longer than a run: no machine is released
+constexpr Seconds kHealthTimeout{60};          // for all controllers to become healthy
+constexpr Seconds kMachineIdleTimeout{86400};  // longer than a run, so no idle machine is released
 
 }  // namespace
 
@@ -58,7 +58,8 @@
   return plan;
 }
 
-// The properties file of the scenario, or a generated one with the settings that a run needs.
+// The path of the scenario's properties file. Without one, generates a file with the properties
+// that a run needs.
 std::string Run::PropertiesFile() const {
   if (!scenario_.controllers.properties.empty()) return scenario_.controllers.properties;
   const std::string properties = folder_ / "controllers.properties";
--- a/src/load_test/scenario.cc
+++ b/src/load_test/scenario.cc
@@ -238,7 +238,7 @@
     root.Fail("classes", "the shares must add up to 1");
 }
 
-// Uses the same keys as the settings file of a controller.
+// Objectives have the same keys here as in the settings file of a controller.
 void ReadObjectives(Section& root, Scenario& scenario) {
   for (Section section : root.Tables("objectives")) {
     Objective objective;
--- a/src/load_test/scenario.h
+++ b/src/load_test/scenario.h
@@ -15,7 +15,7 @@
 
 namespace magpie::load_test {
 
-// An invalid scenario: one line that names the file and the key.
+// Thrown if a scenario is invalid. The message is one line that names the file and the key.
 class InvalidScenario : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -25,17 +25,17 @@
 struct Fault {
   enum class Kind : std::uint8_t {
     kKillLeader,      // kills the leader's process and restarts it after `duration`
-    kKillController,  // the same for a follower
-    kRack,            // some machines of a zone are unreachable for `duration`
+    kKillController,  // kills a follower's process and restarts it after `duration`
+    kRack,            // `count` machines of a zone are unreachable for `duration`
     kZone,            // all machines of a zone are unreachable for `duration`
-    kMachines,        // some machines are restarted, spread over `duration`
+    kMachines,        // `count` machines of a zone are restarted, spread over `duration`
     kOutage,          // the key-value service rejects all requests for `duration`
   };
   Kind kind = Kind::kKillLeader;
   Seconds at;  // from the start of the measurement
   Seconds duration{5};
   std::string zone;
-  std::uint32_t count = 1;  // machines
+  std::uint32_t count = 1;  // number of machines, for kRack and kMachines
 };
 
 struct ControllerSettings {
--- a/src/load_test/simulated_worker.cc
+++ b/src/load_test/simulated_worker.cc
@@ -66,7 +66,7 @@
   fetches_.clear();
 }
 
-// Effects can cause further effects: a task whose image is cached starts immediately.
+// Applying an effect can create further effects: a task whose image is cached starts immediately.
 void SimulatedWorker::ApplyEffects(Instant now) {
   for (auto effects = agent_.TakeEffects(); !effects.empty(); effects = agent_.TakeEffects())
     for (const agent::Effect& effect : effects) ApplyEffects(effect, now);
@@ -95,7 +95,7 @@
       break;
     case agent::Effect::Kind::kEvictImage:
     case agent::Effect::Kind::kDiscardTaskData:
-      break;  // nothing is stored
+      break;  // images and task data are not stored
   }
 }
 
--- a/src/load_test/simulated_worker.h
+++ b/src/load_test/simulated_worker.h
@@ -1,6 +1,6 @@
-// A worker that simulates its tasks: the state machine of src/agent, whose effects only take time.
-// Image fetches and processes end at a set time. Nothing is stored, so a restarted task runs its
-// whole run time again.
+// A worker that simulates its tasks. It runs the state machine of src/agent, but instead of
+// fetching images and starting processes it only computes the times at which they end. Nothing is
+// stored, so a restarted task runs its whole run time again.
 //
 // No I/O: the caller passes the time and transports the messages. Not thread-safe.
 #pragma once
@@ -22,7 +22,7 @@
 
 namespace magpie::load_test {
 
-// Called when a task starts on a machine and when it has certainly ended there.
+// Receives a call when a task starts on a machine, and one when it has certainly ended there.
 class TaskObserver {
  public:
   virtual ~TaskObserver() = default;
@@ -87,7 +87,7 @@
   agent::Worker agent_;
   std::map<ProcessKey, Process> processes_;
   std::map<std::string, Instant> fetches_;     // end of each fetch, by image
-  std::map<std::string, double> image_sizes_;  // of requested images, in GB
+  std::map<std::string, double> image_sizes_;  // in GB, by image
 };
 
 }  // namespace magpie::load_test
--- a/src/load_test/state_server.cc
+++ b/src/load_test/state_server.cc
@@ -8,7 +8,7 @@
 namespace magpie::load_test {
 namespace {
 
-constexpr Seconds kTickInterval{0.05};  // a lease may end at most 0.1 s late
+constexpr Seconds kTickInterval{0.05};  // short enough: leases may end at most 0.1 s late
 constexpr Seconds kMaxWatchBlock{60};
 constexpr char kRangePath[] = "/kv";
 constexpr char kKeyPrefix[] = "/kv/";
@@ -183,7 +183,7 @@
 void StateServer::ServeWatches() {
   const Instant now = EventLoop::Now();
   for (auto it = watches_.begin(); it != watches_.end();) {
-    // During an outage, open watches remain open.
+    // While the service is unavailable to a controller, its open watches remain open.
     if (IsUnavailable(it->controller)) {
       ++it;
       continue;
--- a/src/load_test/state_server.h
+++ b/src/load_test/state_server.h
@@ -20,8 +20,8 @@
  public:
   struct Options {
     StateService::Options service;
-    Seconds latency{0.005};       // median
-    double latency_spread = 0.5;  // standard deviation of its logarithm
+    Seconds latency{0.005};       // median of a log-normal distribution
+    double latency_spread = 0.5;  // standard deviation of the latency's logarithm
     std::uint64_t seed = 1;
   };
   struct Counts {
@@ -29,19 +29,20 @@
     std::uint64_t rate_limited = 0;
     std::uint64_t commits = 0;
     std::uint64_t conflicts = 0;
-    std::uint64_t operations = 0;  // committed puts and drops
-    std::uint64_t value_bytes = 0;
+    std::uint64_t operations = 0;   // committed puts and deletes
+    std::uint64_t value_bytes = 0;  // request bodies of committed transactions
   };
   // Called for each committed transaction.
   using OnCommit = std::function<void(const Transaction&, Instant)>;
 
-  // Used only on the loop's thread, except for Serve before the loop runs.
+  // Once the loop runs, the server is used only on the loop's thread, except for `traffic`.
   StateServer(EventLoop& loop, Options options, OnCommit on_commit);
 
   // Opens an endpoint for one controller. Returns no address if it cannot listen.
   std::optional<Address> Serve(const std::string& controller);
   void SetOutage(bool outage);
-  // Answers one controller with 503, as if the service were unreachable for it.
+  // If `unavailable`, answers requests of this controller with 503, as if the service were
+  // unreachable for it alone.
   void SetUnavailable(const std::string& controller, bool unavailable);
 
   const Counts& counts() const { return counts_; }
@@ -74,7 +75,7 @@
   HttpReply AnswerLease(const HttpCall& call);
   void AnswerWatch(const std::string& controller, const HttpCall& call,
                    const EventLoop::ReplyCallback& reply);
-  // Answers watches that have changes to report or whose time has run out.
+  // Answers watches that have changes or an error to report, and watches whose time has run out.
   void ServeWatches();
   void Tick();
   Seconds Latency();
--- a/src/load_test/state_service.cc
+++ b/src/load_test/state_service.cc
@@ -12,7 +12,7 @@
 constexpr std::size_t kMaxRangeBytes = 512UL * 1024;
 constexpr std::size_t kMaxTransactionBytes = 64UL * 1024;
 constexpr std::size_t kMaxConditionsPerOperation = 4;
-constexpr std::size_t kOperationOverheadBytes = 40;  // added to the key and value of an operation
+constexpr std::size_t kOperationOverheadBytes = 40;  // added to the size of key and value
 constexpr Seconds kMinLeaseDuration{0.1};
 constexpr Seconds kMaxLeaseDuration{600};
 
@@ -54,7 +54,8 @@
   return range;
 }
 
-// The error of an invalid transaction, before its conditions are checked; null if it is valid.
+// Returns the reason why a transaction is invalid, or null if it is valid. Does not compare the
+// revisions of its conditions.
 const char* StateService::FindError(const Transaction& transaction) const {
   if (transaction.changes.size() > options_.max_operations) return "too many operations";
   if (transaction.conditions.size() > kMaxConditionsPerOperation * options_.max_operations)
@@ -79,7 +80,7 @@
 
 StateCommit StateService::Commit(const Transaction& transaction, Instant now) {
   Expire(now);
-  // Transactions whose conditions fail count against the write rate too.
+  // Invalid transactions and those whose conditions fail count against the write rate too.
   if (!writes_.TryAcquire(static_cast<double>(transaction.changes.size()), now))
     return {StateStatus::kRateLimited, tick_, {}, "rate"};
   if (const char* error = FindError(transaction)) return {StateStatus::kInvalid, tick_, {}, error};
--- a/src/load_test/state_service.h
+++ b/src/load_test/state_service.h
@@ -68,7 +68,8 @@
   bool Admit(Instant now) { return requests_.TryAcquire(1, now); }
 
   std::optional<StateEntry> Get(const std::string& key, Instant now);
-  // At most `page` entries, and no more bytes than PROTOCOL allows.
+  // The entries whose keys have the prefix and follow `after`: at most `page` of them, within the
+  // limits of PROTOCOL for entries and bytes.
   StateRange Range(const std::string& prefix, const std::string& after, std::size_t page,
                    Instant now);
   StateCommit Commit(const Transaction& transaction, Instant now);
@@ -80,10 +81,11 @@
   StateLog Changes(const std::string& prefix, Revision after, Instant now);
   // Ends expired leases and deletes their keys. All functions above except Admit do so first.
   void Expire(Instant now);
-  // Restarts the full duration of every lease at the end of an outage. During the outage no other
-  // function may be called.
+  // Restarts the full duration of every lease at the end of an outage. During the outage, functions
+  // that end expired leases must not be called.
   void EndOutage(Instant now);
 
+  // The latest revision; its JSON key is "tick".
   Revision tick() const { return tick_; }
   std::size_t keys() const { return keys_.size(); }
 
--- a/src/load_test/users.cc
+++ b/src/load_test/users.cc
@@ -8,7 +8,7 @@
 namespace magpie::load_test {
 namespace {
 
-// From PROTOCOL, "Users -> controller nodes".
+// Rules for users from PROTOCOL, "Users -> controller nodes".
 constexpr Seconds kSubmitTimeout{5};
 constexpr Seconds kPollTimeout{2};
 constexpr Seconds kRetryInterval{1};
@@ -18,7 +18,7 @@
 
 constexpr std::size_t kMaxConnectionsPerController = 64;
 constexpr double kPollSpread = 0.2;
-constexpr Seconds kFinalPollDelay{3};       // one more poll after a job has ended
+constexpr Seconds kFinalPollDelay{3};       // from the end of a job to its last poll
 constexpr Seconds kUnknownJobInterval{10};  // between polls of jobs that do not exist
 constexpr std::uint64_t kFirstUnknownJob = 90000000;
 
@@ -38,7 +38,7 @@
   bool accepted = false;
   bool ended = false;
   bool cancel_sent = false;
-  Seconds cancel_after;  // 0: not cancelled
+  Seconds cancel_after;  // from acceptance to cancellation; 0: the user does not cancel the job
 };
 
 Users::Users(EventLoop& loop, Options options, const std::vector<Node>& nodes, JobLedger& jobs,
@@ -189,7 +189,8 @@
               });
 }
 
-// Chooses a controller as the load balancer does; null if all are busy or skipped as unhealthy.
+// Chooses a controller as the load balancer does, and sets `node` to its index. Returns an idle
+// connection to it; null if all connections are busy or all controllers are skipped as unhealthy.
 EventLoop::ClientConnection* Users::ChooseConnection(std::size_t& node) {
   const Instant now = EventLoop::Now();
   const auto first =
@@ -226,8 +227,9 @@
           route.failures = 0;
           route.skipped_until = EventLoop::Now() + kSkipDuration;
         }
-        const ReportedState state = outcome.answered ? StateFromAnswer(outcome.status, outcome.body)
-                                                     : ReportedState::kNoAnswer;
+        const ReportedState state = outcome.answered
+                                        ? JobStateFromResponse(outcome.status, outcome.body)
+                                        : ReportedState::kNoAnswer;
         if (state == ReportedState::kNoAnswer) ++counts_.unanswered;
         on_answer(state, sent);
       });
--- a/src/load_test/users.h
+++ b/src/load_test/users.h
@@ -1,5 +1,5 @@
-// The simulated users of a run: submit jobs of the configured classes, poll them and cancel some,
-// by the rules of PROTOCOL for users. Used on the thread of its loop.
+// The simulated users of a run. They submit jobs of the configured classes, poll them and cancel
+// some, by the rules of PROTOCOL for users. The class is used on the thread of its loop.
 #pragma once
 
 #include <cstdint>
@@ -23,7 +23,7 @@
   std::vector<std::string> teams;  // drawn with equal probability
   Seconds run_time;                // mean of its tasks
   double run_time_spread = 0;      // maximum deviation of run times, as a fraction
-  double share = 0;                // of all task starts
+  double share = 0;                // fraction of all task starts
   double cancel_fraction = 0;      // fraction of the jobs that are cancelled
 };
 
@@ -39,7 +39,7 @@
   struct Counts {
     std::uint64_t submitted = 0;
     std::uint64_t accepted = 0;
-    std::uint64_t refused = 0;
+    std::uint64_t refused = 0;   // rejected with 400 or 422
     std::uint64_t given_up = 0;  // not accepted within the minute that PROTOCOL allows
     std::uint64_t done = 0;
     std::uint64_t cancelled = 0;
@@ -58,7 +58,7 @@
   const Counts& counts() const { return counts_; }
   // Jobs that were accepted and are neither done nor cancelled.
   std::size_t open() const { return open_; }
-  // Whether no further jobs will be submitted and all submitted jobs have ended.
+  // Whether no further jobs will be submitted, no submission is pending, and no job is open.
   bool finished() const;
 
  private:
@@ -66,7 +66,7 @@
   struct Route {
     std::vector<std::unique_ptr<EventLoop::ClientConnection>> connections;
     Instant skipped_until;
-    int failures = 0;  // consecutive
+    int failures = 0;  // consecutive requests without a response
   };
 
   void CreateJob(std::size_t class_index);
--- a/src/load_test/worker_pool.h
+++ b/src/load_test/worker_pool.h
@@ -23,7 +23,7 @@
   WorkerPool(const WorkerPool&) = delete;
   WorkerPool& operator=(const WorkerPool&) = delete;
 
-  // The address where the machine's worker will listen; empty if it cannot listen.
+  // Creates the worker of a machine. Returns its address; empty if the worker cannot listen.
   std::string Add(const CloudMachine& machine);
   void Begin(const MachineId& machine);
   // When this returns, the worker is destroyed and its tasks have ended.
@@ -39,7 +39,7 @@
   struct Thread {
     EventLoop loop;
     std::thread thread;
-    // Used only on this thread.
+    // Used only on this thread while it runs.
     std::unordered_map<std::string, std::unique_ptr<NetworkedWorker>> workers;
   };
 
--- a/tests/load_test_checker_test.cc
+++ b/tests/load_test_checker_test.cc
@@ -281,7 +281,7 @@
            .Ended(5, 0, "m-a1")
            .Answered(6, ReportedState::kDone)
            .Answered(7, ReportedState::kActive)},
-      {"active in an answer to a request sent before done", "",
+      {"active in a response to a request sent before done", "",
        HistoryBuilder()
            .Accepted(Spec(1))
            .Started(3, 0, "m-a1")
--- a/tests/load_test_services_test.cc
+++ b/tests/load_test_services_test.cc
@@ -173,15 +173,15 @@
   EXPECT_EQ(QueryField("/kv?under=c/&after=c/7&page=5", "after"), "c/7");
   EXPECT_EQ(QueryCount("/kv?under=c/&page=5", "page"), 5U);
   EXPECT_FALSE(QueryField("/kv", "page"));
-  EXPECT_EQ(StateFromAnswer(200, R"({"mood":"done"})"), ReportedState::kDone);
-  EXPECT_EQ(StateFromAnswer(201, R"({"mood":"queued"})"), ReportedState::kActive);
-  EXPECT_EQ(StateFromAnswer(200, "nonsense"), ReportedState::kNoAnswer);
-  EXPECT_EQ(StateFromAnswer(404, ""), ReportedState::kUnknown);
-  EXPECT_EQ(StateFromAnswer(422, ""), ReportedState::kRejected);
-  EXPECT_EQ(StateFromAnswer(503, ""), ReportedState::kNoAnswer);
-  EXPECT_EQ(AnswerFromReply(200, R"({"crest":5,"calls":[]})").token, FencingToken{5});
-  EXPECT_EQ(AnswerFromReply(421, R"({"home_roost":"n1"})").destination, "n1");
-  EXPECT_EQ(AnswerFromReply(503, "{}").kind, agent::Answer::Kind::kFailed);
+  EXPECT_EQ(JobStateFromResponse(200, R"({"mood":"done"})"), ReportedState::kDone);
+  EXPECT_EQ(JobStateFromResponse(201, R"({"mood":"queued"})"), ReportedState::kActive);
+  EXPECT_EQ(JobStateFromResponse(200, "nonsense"), ReportedState::kNoAnswer);
+  EXPECT_EQ(JobStateFromResponse(404, ""), ReportedState::kUnknown);
+  EXPECT_EQ(JobStateFromResponse(422, ""), ReportedState::kRejected);
+  EXPECT_EQ(JobStateFromResponse(503, ""), ReportedState::kNoAnswer);
+  EXPECT_EQ(AnswerFromResponse(200, R"({"crest":5,"calls":[]})").token, FencingToken{5});
+  EXPECT_EQ(AnswerFromResponse(421, R"({"home_roost":"n1"})").destination, "n1");
+  EXPECT_EQ(AnswerFromResponse(503, "{}").kind, agent::Answer::Kind::kFailed);
 }
 
 class CloudTest : public ::testing::Test {
@@ -236,7 +236,7 @@
   EXPECT_EQ(Provision("r-3", 1).status, CloudStatus::kNoCapacity);
   cloud.Release({first.machines[0], {"vm-none"}});
   EXPECT_EQ(Provision("r-3", 1).status, CloudStatus::kOk)
-      << "a name without capacity may be requested again";
+      << "a name can be requested again if there was no capacity";
   EXPECT_EQ(Provision("r-4", 1, "c").status, CloudStatus::kInvalid);
   EXPECT_EQ(Provision("r-5", 51).status, CloudStatus::kInvalid);
 }
--- a/tests/simulated_worker_test.cc
+++ b/tests/simulated_worker_test.cc
@@ -61,7 +61,7 @@
   static Command StopCommand(std::uint32_t index, Seconds termination_grace_period) {
     return {CommandKind::kStop, {{"j-1"}, index}, {1}, termination_grace_period};
   }
-  // Advances the time from one wakeup of the worker to the next.
+  // Advances the time to `seconds`, from one wakeup of the worker to the next.
   void AdvanceUntil(double seconds) {
     const Instant end{seconds};
     while (worker.NextWakeup() < end && now < end) {
