--- a/src/load_test/cloud.h
+++ b/src/load_test/cloud.h
@@ -75,9 +75,9 @@
   List ListAfter(const MachineId& after, std::size_t page, Instant now);
   // Adds machines that have already booted.
   void AddBooted(const RentalRequest& request, Instant now);
-  // Boots machines after their boot time, and takes the snapshots from which ListAfter reads.
+  // Completes boots whose boot time has passed, and takes the snapshots from which ListAfter reads.
   void Advance(Instant now);
-  // Marks a machine as failed.
+  // Marks a machine as failed. It no longer boots, and the list shows it as failed after a delay.
   void Fail(const MachineId& machine, Instant now);
 
   std::size_t machines() const { return machines_.size(); }
--- a/src/load_test/event_loop.h
+++ b/src/load_test/event_loop.h
@@ -56,7 +56,7 @@
   // The steady clock that all loops of this process use.
   static Instant Now();
 
-  // Calls back once at the time that was set last.
+  // A timer that calls back once, at the time that was set last.
   class Timer {
    public:
     virtual ~Timer() = default;
--- a/src/load_test/leadership_log.cc
+++ b/src/load_test/leadership_log.cc
@@ -13,7 +13,7 @@
       std::lock_guard lock(mutex_);
       if (!takeovers_.empty()) first_starts_.push_back({takeovers_.back().at, *started});
     }
-    recorder_.AwaitFirstStart(at);
+    recorder_.ResetFirstStart(at);
     std::lock_guard lock(mutex_);
     takeovers_.push_back({change.value->value("leader", ""), at});
   }
--- a/src/load_test/networked_worker.cc
+++ b/src/load_test/networked_worker.cc
@@ -47,7 +47,7 @@
   options.agent.heartbeat_interval = worker_context_.heartbeat_interval;
   options.agent.lease = worker_context_.lease;
   for (const Node& node : worker_context_.nodes) options.agent.nodes.push_back(node.label);
-  // Rotates the list of controllers, so that workers send their first heartbeats to different ones.
+  // Rotates the list of controllers, so that the first heartbeats of workers are spread over them.
   const std::size_t number = std::hash<std::string>()(machine_.id.value) + incarnation_;
   std::rotate(options.agent.nodes.begin(),
               options.agent.nodes.begin() +
--- a/src/load_test/recorder.cc
+++ b/src/load_test/recorder.cc
@@ -59,7 +59,7 @@
   accept_latency_ = {};
 }
 
-void Recorder::AwaitFirstStart(Instant from) {
+void Recorder::ResetFirstStart(Instant from) {
   std::lock_guard lock(mutex_);
   first_start_from_ = from;
   first_start_.reset();
--- a/src/load_test/recorder.h
+++ b/src/load_test/recorder.h
@@ -34,9 +34,9 @@
   void RecordAcceptance(Seconds took);
   // Drops the latencies recorded so far.
   void BeginMeasuring();
-  // Makes first_start_since return the time of the first task start from `from` on, once there is
-  // one. This start shows that a new leader binds tasks.
-  void AwaitFirstStart(Instant from);
+  // Makes first_start_since return the time of the first task start at or after `from`, once there
+  // is one. Used to measure how soon tasks start under a new leader.
+  void ResetFirstStart(Instant from);
   std::optional<Instant> first_start_since();
 
   std::uint64_t started();
--- a/src/load_test/state_server.cc
+++ b/src/load_test/state_server.cc
@@ -8,7 +8,7 @@
 namespace magpie::load_test {
 namespace {
 
-constexpr Seconds kTickInterval{0.05};  // short enough: leases may end at most 0.1 s late
+constexpr Seconds kTickInterval{0.05};  // leases must not end more than 0.1 s late
 constexpr Seconds kMaxWatchBlock{60};
 constexpr char kRangePath[] = "/kv";
 constexpr char kKeyPrefix[] = "/kv/";
