--- a/src/load_test/recorder.h
+++ b/src/load_test/recorder.h
@@ -34,8 +34,9 @@
   void RecordAcceptance(Seconds took);
   // Drops the latencies recorded so far.
   void BeginMeasuring();
-  // Awaits the first task start after `from`, which shows that a new leader assigns tasks.
-  void AwaitFirstStart(Instant from);
+  // Makes first_start_since return the time of the first task start at or after `from`, once there
+  // is one. Used to measure how soon tasks start under a new leader.
+  void ResetFirstStart(Instant from);
   std::optional<Instant> first_start_since();
 
   std::uint64_t started();
@@ -44,7 +45,8 @@
   void Finish();
 
   struct Statistics {
-    nlohmann::json start_by_class;  // from the first submission to a task's first start
+    // Latencies from the first submission of a job to the first start of each of its tasks.
+    nlohmann::json start_by_class;
     nlohmann::json start;
     nlohmann::json accept;
     std::uint64_t started = 0;
