--- a/src/controller/cloud_loop.h
+++ b/src/controller/cloud_loop.h
@@ -31,7 +31,8 @@
  private:
   StepResult MakeNextCall(const std::stop_token& stop);
   std::optional<CloudCall> NextCall();  // the caller holds the mutex
-  // These return kFailed if the cloud gave no valid answer; the next call is then delayed.
+  // These return kFailed if the call was not made, was not carried out or got no valid answer; the
+  // next call is then delayed. A lack of capacity is not a failure.
   StepResult MakeCall(const CloudCall& call, Instant decided_at);
   StepResult ListMachines();
   StepResult Provision(const CloudCall& call);
--- a/src/controller/control_key_watcher.h
+++ b/src/controller/control_key_watcher.h
@@ -10,7 +10,8 @@
 
 namespace magpie {
 
-// Calls `on_change` after each change of a key under records::kControlPrefix.
+// Calls `on_change` when a watch returns changes of keys under records::kControlPrefix. Changes
+// made between a failed watch and the next one are not reported.
 class ControlKeyWatcher {
  public:
   ControlKeyWatcher(KeyValueStore& store, std::function<void()> on_change);
@@ -24,7 +25,7 @@
 
   KeyValueStore& store_;
   std::function<void()> on_change_;
-  Revision watched_revision_;  // 0: unknown, to be read. Used only by the thread.
+  Revision watched_revision_;  // 0: unknown, read before the next watch. Used only by the thread.
   std::jthread thread_;        // declared last: joined before the other members are destroyed
 };
 
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -83,8 +83,8 @@
 
 CancellationBroadcaster::Hooks Controller::BroadcasterHooks() {
   return {SteadyNow,
-          [this](const std::string& member, const JobId& job, Revision revision) {
-            return peers_.AnnounceCancellation(member, {job, revision});
+          [this](const std::string& peer, const JobId& job, Revision revision) {
+            return peers_.AnnounceCancellation(peer, {job, revision});
           },
           [this](const JobId& job, Revision revision) {
             return cancellations_.Record(JobCache::Cancellation{job, revision});
@@ -94,8 +94,8 @@
 HeartbeatHandler::Hooks Controller::HeartbeatHooks() {
   return {SteadyNow, [this] { return state_.ClusterView(); },
           [this] { state_.RequestPlanningIfWanted(); }, [this] { election_.Wake(); },
-          [this](const std::string& member, const std::string& body) {
-            return peers_.RelayHeartbeat(member, body);
+          [this](const std::string& peer, const std::string& body) {
+            return peers_.RelayHeartbeat(peer, body);
           }};
 }
 
--- a/src/controller/controller_options.cc
+++ b/src/controller/controller_options.cc
@@ -77,7 +77,7 @@
 }
 
 HttpServer::Limits UserServerLimits(const Settings& settings) {
-  constexpr double kPendingMemoryShare = 1.0 / 16;  // for requests received in part
+  constexpr double kPendingMemoryShare = 1.0 / 16;  // for incomplete requests
   constexpr std::uint32_t kSmallSocketLimit = 200;
   const std::size_t connections = settings.max_sockets > kSmallSocketLimit
                                       ? settings.max_sockets / 2
@@ -92,8 +92,8 @@
 HttpServer::Limits PeerServerLimits() { return {.connections = 32}; }
 
 Seconds MinPollReadInterval(const Settings& settings) {
-  constexpr double kPollReadShare =
-      0.4;  // of the store's request rate, for the polls of all controllers
+  // The share of the key-value store's request rate for the polls of all controllers.
+  constexpr double kPollReadShare = 0.4;
   const double controllers = static_cast<double>(settings.peers.size() + 1);
   return {controllers / (kPollReadShare * settings.store_requests_per_s)};
 }
--- a/src/controller/controller_options.h
+++ b/src/controller/controller_options.h
@@ -18,7 +18,7 @@
 CancellationBroadcaster::Options BroadcasterOptions(const Settings& settings);
 HttpServer::Limits UserServerLimits(const Settings& settings);
 HttpServer::Limits PeerServerLimits();
-// The minimum time between two reads of the job cache.
+// The minimum time between two reads of the key-value store by the job cache.
 Seconds MinPollReadInterval(const Settings& settings);
 // The minimum time between two calls to the cloud.
 Seconds MinCloudCallInterval(const Settings& settings);
--- a/src/controller/direct_command_loop.h
+++ b/src/controller/direct_command_loop.h
@@ -26,8 +26,8 @@
 
   LeaderState& state_;
   CancellationRegistry& cancellations_;
-  std::vector<std::jthread>
-      threads_;  // declared last: joined before the other members are destroyed
+  // Declared last: joined before the other members are destroyed.
+  std::vector<std::jthread> threads_;
 };
 
 }  // namespace magpie
--- a/src/controller/heartbeat_handler.cc
+++ b/src/controller/heartbeat_handler.cc
@@ -91,8 +91,9 @@
   const ClusterView cluster_view = hooks_.cluster_view();
   Redirection redirection;
   if (!scheduler_.leading()) redirection.leader = cluster_view.leader;
-  // There was no leader when this controller lost the store. The worker has not reached a later
-  // leader, and this controller can't redirect it to one.
+  // There was no leader when this controller lost its connection to the key-value store, so it
+  // can't redirect the worker. The worker has no token of a later leader, so this controller may
+  // renew the worker's lease itself.
   if (redirection.leader.empty() && cluster_view.partitioned &&
       EpochOf(heartbeat.token) <= cluster_view.epoch) {
     if (const auto response = cancellations_.FollowerResponse(heartbeat)) {
@@ -100,9 +101,10 @@
       return redirection;
     }
   }
-  // A worker with the current leader's token has lost its connection to the leader, but this
-  // controller may still reach the leader. Workers are also not redirected to a leader that this
-  // controller can't reach or that may have been replaced since the store became unreachable.
+  // A worker with the current leader's token sends its heartbeat to a follower only if it has lost
+  // its connection to the leader. The follower, which is this controller, may still reach the
+  // leader. Workers are also not redirected to a leader that this controller can't reach or that
+  // may have been replaced since the store became unreachable.
   redirection.leader_unreachable = EpochOf(heartbeat.token) == cluster_view.epoch ||
                                    cluster_view.partitioned || leader_reachability_.TimesOut();
   if (!redirection.leader_unreachable && !redirection.leader.empty())
--- a/src/controller/heartbeat_handler.h
+++ b/src/controller/heartbeat_handler.h
@@ -22,8 +22,8 @@
 // worker to the leader. If the worker can't reach the leader, the follower relays the heartbeat; if
 // the follower can't reach the leader either, it renews the worker's lease itself.
 //
-// Only CancellationRegistry creates a 200 response: that of this controller or, for a relayed
-// heartbeat, that of the leader.
+// Each 200 response has passed through the CancellationRegistry of this controller or, for a
+// relayed heartbeat, of the leader.
 //
 // Thread safe. Blocks on I/O while it relays.
 class HeartbeatHandler {
@@ -38,9 +38,9 @@
     std::function<Instant()> now;
     std::function<ClusterView()> cluster_view;   // called with the mutex held
     std::function<void()> on_heartbeat_applied;  // called with the mutex held
-    std::function<void()> on_no_leader;          // no leader is known
+    std::function<void()> on_no_leader;          // called without the mutex if there is no leader
     // Relays a heartbeat to another controller.
-    std::function<HttpAnswer(const std::string& member, const std::string& body)> relay;
+    std::function<HttpAnswer(const std::string& peer, const std::string& body)> relay;
   };
   struct Options {
     Seconds lease;         // of a worker
@@ -54,14 +54,15 @@
 
   // `body` is the heartbeat as JSON.
   HttpResponse Handle(const std::string& body, HeartbeatRoute route);
-  // Called with the mutex held, after another controller became the leader.
+  // Called with the mutex held when the leader's label changes, also if there is no leader any
+  // more.
   void OnLeaderChanged();
 
  private:
   // Where a follower redirects a worker.
   struct Redirection {
     std::string leader;                   // empty: there is no leader
-    bool leader_unreachable = false;      // the worker probably can't reach the leader
+    bool leader_unreachable = false;      // relay the heartbeat instead
     std::optional<HttpResponse> renewal;  // sent instead, if this controller renewed the lease
   };
   // The leader's response. None if this controller does not lead or the worker has the token of a
@@ -73,11 +74,12 @@
                      const std::string& leader);
   std::optional<HttpAnswer> TryRelay(const Heartbeat& heartbeat, const std::string& body,
                                      const std::string& leader);
-  // Called if the leader did not answer. The caller holds `mutex_`.
+  // Called if the leader did not answer or relaying is paused. The caller holds `mutex_`.
   HttpResponse RenewLeaseIfAllowed(const Heartbeat& heartbeat, Instant now);
 
   Options options_;
-  std::mutex& mutex_;  // guards the scheduler, the leader's health and the two trackers
+  // Guards scheduler_, leader_health_, redirect_tracker_ and leader_reachability_.
+  std::mutex& mutex_;
   Scheduler& scheduler_;
   LeaderHealth& leader_health_;
   CancellationRegistry& cancellations_;
--- a/src/controller/job_api.cc
+++ b/src/controller/job_api.cc
@@ -85,7 +85,7 @@
   return {JobStatus::kFinal, record};
 }
 
-// For display only, so the last known counts are good enough while the leader can't be reached.
+// The counts are only displayed, so the last known ones suffice while current ones are unavailable.
 JobProgress JobApi::ProgressOf(const JobId& id) {
   const auto progress = hooks_.progress(id);
   std::scoped_lock lock(progress_mutex_);
@@ -224,7 +224,7 @@
   const bool stopping = entry.value.value(records::kStoppingField, false) ||
                         IsDisabled(SafetyCheck::kStoppingBeforeAcknowledged);
   if (!stopping && !SetRecordFlag(id, entry, records::kStoppingField, backoff)) return std::nullopt;
-  // The user's request is about to time out. Its retry finds the first step done.
+  // The user's request is about to time out. When the user retries it, the first step is done.
   if (hooks_.now() >= deadline) return UnavailableResponse(kStoreUnavailable);
   // The cancellation is durable before it is announced, so that a controller that restarts after
   // acknowledging it finds it when loading the jobs.
@@ -235,8 +235,8 @@
   return StateOnlyResponse(200, id, protocol::kCancelled);
 }
 
-// Conditional on the record's revision: without the condition, a job that became final in the
-// meantime would be written as a live job again.
+// The write is conditional on the record's revision: without the condition, a job that became final
+// in the meantime would be written as a live job again.
 bool JobApi::SetRecordFlag(const JobId& id, StoreEntry& entry, const char* field,
                            Backoff& backoff) {
   const std::string key = records::JobKey(id);
--- a/src/controller/job_api.h
+++ b/src/controller/job_api.h
@@ -21,7 +21,8 @@
 namespace magpie {
 
 // Runs on every controller and answers from the durable records, so that no controller returns an
-// older state than another one has. Thread safe; blocks on calls to the key-value store.
+// older state than another controller has returned before. Thread safe; blocks on calls to the
+// key-value store.
 class JobApi {
  public:
   struct Hooks {
@@ -31,12 +32,12 @@
     std::function<WallTime()> wall_now;
     std::function<void(Seconds)> sleep;
     std::function<Instant()> now;
-    // Announces a cancellation that is durable at the revision. True if every controller has
-    // acknowledged it.
+    // Announces a cancellation that is durable at the revision. True only if every controller
+    // has acknowledged it.
     std::function<bool(const JobId&, Revision)> broadcast_cancellation;
   };
 
-  // `min_read_interval`: the minimum time between two reads of the store for polls.
+  // `min_read_interval`: the minimum time between two reads of the store by the job cache.
   JobApi(KeyValueStore& store, std::vector<Team> teams, std::vector<std::string> zones,
          Seconds min_read_interval, SubmissionBatcher::Options submissions, Hooks hooks);
 
--- a/src/controller/leader_reachability.h
+++ b/src/controller/leader_reachability.h
@@ -8,10 +8,11 @@
 
 namespace magpie {
 
-// Learns from relayed heartbeats whether the leader can be reached, and decides when a follower
-// renews a worker's lease itself. Such a renewal sends the worker's own token, raised, and starts
-// no task. It is always safe, because no leader binds the machine's tasks again before the machine
-// is certainly fenced. Without it, all work in a partitioned zone would be killed.
+// Determines from the results of relayed heartbeats whether the leader can be reached, and decides
+// when a follower renews a worker's lease itself. Such a renewal sends the worker's own token,
+// raised, and starts no task. It is always safe, because no leader binds the machine's tasks again
+// before the machine is certainly fenced. Without it, all work in a partitioned zone would be
+// killed.
 //
 // Not thread safe.
 class LeaderReachability {
@@ -47,11 +48,11 @@
   // Whether this controller may renew the lease of a worker with this token. `epoch` is the latest
   // known epoch; `partitioned` means that this controller can't reach the key-value store.
   //
-  // Allowed at once if the leader times out or this controller can't reach the store either: a
-  // worker redirected in the first seconds of a partition would try unreachable controllers one
-  // after another until its lease ends. Allowed after a delay if the leader refuses connections,
-  // since its process may have ended and a successor may be elected soon. Never allowed for a
-  // worker that has the token of a later leader.
+  // The renewal is allowed at once if the leader times out or this controller can't reach the store
+  // either: a worker redirected in the first seconds of a partition would try unreachable
+  // controllers one after another until its lease ends. It is allowed after a delay if the leader
+  // refuses connections, since its process may have ended and a successor may be elected soon. It
+  // is never allowed for a worker that has the token of a later leader.
   bool MayRenewLease(FencingToken token, Revision epoch, bool partitioned, Instant now) const {
     if (EpochOf(token) > epoch || !failing_since_) return false;
     return partitioned || timed_out_ || now - *failing_since_ > max_failure_duration_;
--- a/src/controller/leader_state.h
+++ b/src/controller/leader_state.h
@@ -43,7 +43,8 @@
     Scheduler::Options scheduler;
     Autoscaler::Options autoscaler;
     Seconds heartbeat_interval;
-    // Called with the mutex held, after another controller became the leader.
+    // Called with the mutex held when the leader's label changes, also if there is no leader any
+    // more.
     std::function<void()> on_leader_changed;
   };
 
@@ -62,7 +63,7 @@
   // Whether the leadership in the key-value store is the one that this controller relinquished.
   bool IsRelinquished(const LeaderElection::View& view);
   bool HoldsLeadership(const records::Leadership& leadership);
-  // Whether the key-value store answered the latest election step.
+  // Whether the key-value store has answered since an election step last failed to reach it.
   bool StoreReachable();
   bool MayCampaign(Instant no_leader_since);
   // Whether this controller should resign. If so, the resignation is recorded in health().
@@ -88,7 +89,7 @@
   LeaderHealth& health() { return health_; }
   FailoverTimeline& timeline() { return timeline_; }
   const std::optional<records::Leadership>& leadership() const { return leadership_; }
-  // The latest known epoch, of this or another leader.
+  // The latest known epoch, of this controller or another leader.
   Revision epoch() const { return leadership_ ? leadership_->epoch : epoch_; }
   HeartbeatHandler::ClusterView ClusterView() const;
   Instant store_reached_at() const { return store_reached_at_; }
@@ -118,11 +119,11 @@
   Scheduler scheduler_;
   LeaderHealth health_;
   std::optional<records::Leadership> leadership_;
-  std::optional<records::Leadership> relinquished_;  // the last one
+  std::optional<records::Leadership> relinquished_;  // the last one that was relinquished
   std::string leader_label_;
   Revision epoch_;
   Instant store_reached_at_;  // when the key-value store last answered
-  Instant store_failed_at_;   // when a call to it last failed
+  Instant store_failed_at_;   // when an election step last failed to reach it
   bool planning_requested_ = false;
   FailoverTimeline timeline_;
 };
--- a/src/controller/peer_clients.h
+++ b/src/controller/peer_clients.h
@@ -32,12 +32,14 @@
 
   // Relays a worker's heartbeat to `peer`, which must be one of labels().
   HttpAnswer RelayHeartbeat(const std::string& peer, const std::string& body);
-  // Whether `peer`, one of labels(), acknowledged the cancellation.
+  // Announces the cancellation to `peer`, which must be one of labels(). Returns whether the peer
+  // acknowledged it.
   bool AnnounceCancellation(const std::string& peer, const JobCache::Cancellation& cancellation);
   // Forwards a user's request about jobs to a peer that can reach the key-value store, and returns
   // the response. None if there is no such peer or the request is not about jobs.
   std::optional<HttpResponse> ForwardJobRequest(const HttpRequest& request);
-  // The leader's task counts as JSON. None if `leader` is not a peer or has not loaded the records.
+  // The leader's task counts as JSON. None if `leader` is not a peer, does not answer or has not
+  // loaded the records.
   std::optional<std::string> FetchProgress(const std::string& leader);
   // Whether any peer answers.
   bool AnyReachable();
--- a/src/controller/planning_loop.h
+++ b/src/controller/planning_loop.h
@@ -13,15 +13,15 @@
 
 namespace magpie {
 
-// Runs a planning round (Scheduler::Tick) soon after each request for one. The pause after a round
-// is proportional to its duration, which bounds the share of time spent on planning. After a round
-// it wakes the threads that carry out the decisions, and logs the decisions and the leader's
-// metrics.
+// Runs a planning round (Scheduler::Tick) soon after each request for one, and at regular intervals
+// without requests. The pause after a round is proportional to the round's duration, which bounds
+// the share of time spent on planning. After a round this class wakes the threads that carry out
+// the decisions, and logs the decisions and the leader's metrics.
 class PlanningLoop {
  public:
   struct Options {
     std::string label;              // of this controller, for the log
-    std::size_t probe_threads = 1;  // in ProbeLoop
+    std::size_t probe_threads = 1;  // of ProbeLoop
     // Whether the cancellation registry is loaded, for the log.
     std::function<bool()> cancellations_loaded;
   };
@@ -42,7 +42,7 @@
   void Run(const std::stop_token& stop);
   // Runs one round. The caller holds the mutex.
   RoundLog PlanRound();
-  // Returns the line once per leadership, when the takeover is complete.
+  // Returns FailoverLine() once per leadership, when the takeover is complete; otherwise none.
   std::optional<std::string> FailoverLineIfSettled(Instant now);
   void NotifyThreads();
   void Log(const RoundLog& log) const;
--- a/src/controller/probe_loop.h
+++ b/src/controller/probe_loop.h
@@ -24,8 +24,8 @@
 
   LeaderState& state_;
   std::size_t thread_count_;
-  std::vector<std::jthread>
-      threads_;  // declared last: joined before the other members are destroyed
+  // Declared last: joined before the other members are destroyed.
+  std::vector<std::jthread> threads_;
 };
 
 }  // namespace magpie
--- a/src/controller/redirect_tracker.h
+++ b/src/controller/redirect_tracker.h
@@ -15,12 +15,14 @@
 // forth until its lease ends. Not thread safe.
 class RedirectTracker {
  public:
-  // `lease`: of workers. A worker that returns after a longer time may have reached the leader.
+  // `lease`: the workers' lease. A worker that returns after a longer time may have reached the
+  // leader in between.
   explicit RedirectTracker(Seconds lease) : lease_(lease) {}
 
-  // Whether the worker returned from the leader. If not, records that it is redirected now.
+  // Whether the worker was redirected and returned without having reached the leader. If not,
+  // records that it is redirected now.
   bool ReturnedFromLeader(const MachineId& machine, Instant now) {
-    constexpr Seconds kMinAbsence{3};  // an earlier one may be a duplicate heartbeat
+    constexpr Seconds kMinAbsence{3};  // an earlier heartbeat may be a duplicate
     constexpr std::size_t kMaxMachines = 4096;
     if (redirected_at_.size() >= kMaxMachines) redirected_at_.clear();
     const auto [it, inserted] = redirected_at_.try_emplace(machine, now);
--- a/src/controller/settings.cc
+++ b/src/controller/settings.cc
@@ -101,8 +101,8 @@
 Objective ReadObjective(const Section& section) {
   Objective objective;
   objective.kind = section.String("kind");
-  objective.job_class =
-      section.OptionalString("class");  // absent in objectives that apply to no class
+  // Absent in objectives that apply to no particular class.
+  objective.job_class = section.OptionalString("class");
   objective.limit = {section.NumberOr("within_s", 0, 0)};
   objective.share = section.NumberOr("share", 0, 0);
   objective.deadline_factor = section.NumberOr("times", 0, 1);
--- a/src/controller/settings.h
+++ b/src/controller/settings.h
@@ -53,21 +53,22 @@
   // --- The operators' properties and their defaults
   Seconds leader_lease{4};
   PlacementWeights weights;
-  Seconds idle_timeout{20};        // after which an idle machine is released
-  Seconds heartbeat_timeout{12};   // without a heartbeat, before a machine is suspected
-  Seconds list_interval{3};        // between reads of the cloud's machine list
-  double boot_timeout_factor = 4;  // multiple of the usual boot time, before a machine is given up
-  std::uint32_t headroom = 1;      // spare replicas of each class of services
-  Seconds headroom_duration{600};  // how long headroom is kept after the last arrival
+  Seconds idle_timeout{20};       // after which an idle machine is released
+  Seconds heartbeat_timeout{12};  // time without a heartbeat after which a machine is suspected
+  Seconds list_interval{3};       // between reads of the cloud's machine list
+  // A machine is given up after this multiple of the usual boot time.
+  double boot_timeout_factor = 4;
+  std::uint32_t headroom = 1;          // spare replicas of each recent service image
+  Seconds headroom_duration{600};      // time after the last arrival for which they are reserved
   Seconds provision_retry_delay{90};   // after the cloud had no capacity for a kind of machine
-  std::uint32_t max_per_request = 50;  // machines
+  std::uint32_t max_per_request = 50;  // machines provisioned per request
 };
 
 // Each function throws InvalidSettings. LoadProperties changes only the settings that the file
 // names.
 Settings LoadSettings(const std::string& toml_path);
 void LoadProperties(const std::string& path, Settings& settings);
-// For tests: LoadSettings from text.
+// For tests: reads the text of a settings file as LoadSettings does.
 Settings ParseSettings(const std::string& toml_text);
 
 }  // namespace magpie
--- a/src/controller/takeover_loop.cc
+++ b/src/controller/takeover_loop.cc
@@ -54,8 +54,8 @@
     spdlog::debug(
         "load failed epoch={} reason={}", leadership->epoch.value,
         loaded.status == LoadStatus::kLeadershipLost ? "leadership_lost" : "store_unavailable");
-    // Restart loading with an empty scheduler. A page that is loaded a second time has no record
-    // that is still in use, so the scheduler would overwrite it with an empty page.
+    // Restart loading with an empty scheduler. If a page were loaded a second time, the scheduler
+    // would find none of the page's records in use and overwrite the page with an empty one.
     std::scoped_lock lock(state_.mutex());
     if (state_.leadership() == leadership) state_.RestartScheduler();
     return StepResult::kFailed;
@@ -71,7 +71,8 @@
     if (first_read.value == 0) first_read = result.revision;
   }
   // A successor may have been elected during an outage or partition while this controller was
-  // reading. Its records must not be mistaken for those of this leadership and acted upon.
+  // reading. The successor's records must not be mistaken for those of this leadership and acted
+  // upon.
   if (!IsRecordedInStore(leadership, stop)) return {LoadStatus::kLeadershipLost, {}};
   SchedulerStatus status;
   {
--- a/src/controller/takeover_loop.h
+++ b/src/controller/takeover_loop.h
@@ -34,21 +34,23 @@
   void Run(const std::stop_token& stop);
   LoadResult Load(const records::Leadership& leadership, const std::stop_token& stop);
   LoadResult LoadPrefix(const char* prefix, const records::Leadership& leadership);
-  // Whether the store still has the leadership. Retries until the store answers or this controller
-  // finds that its leadership ended, since a lost answer does not justify loading everything again.
+  // Whether the store still records this leadership. Retries until the store answers or this
+  // controller finds that its leadership ended, since a lost answer does not justify loading
+  // everything again.
   bool IsRecordedInStore(const records::Leadership& leadership, const std::stop_token& stop);
   void FinishLoad();
   // Applies the changes of jobs since `revision` until the leadership ends.
   void Follow(const records::Leadership& leadership, Revision revision,
               const std::stop_token& stop);
-  // Reads all jobs and returns them as events; none if the leadership ends first.
   struct JobEvents {
     std::vector<WatchEvent> events;
     Revision revision;
   };
+  // Reads all jobs and returns them as events; none if the leadership ends or a stop is requested
+  // first.
   std::optional<JobEvents> ReadJobs(const records::Leadership& leadership, Backoff& backoff,
                                     const std::stop_token& stop);
-  // The caller of these holds the mutex.
+  // These require the caller to hold the mutex.
   void ApplyJobEvent(const WatchEvent& event);
   void LoadEntry(const char* prefix, const StoreEntry& entry);
 
--- a/src/controller/user_api.cc
+++ b/src/controller/user_api.cc
@@ -25,13 +25,13 @@
   HttpResponse response = request.method == "POST"
                               ? heartbeats_.Handle(request.body, HeartbeatRoute::kDirect)
                               : MethodNotAllowedResponse("POST");
-  response.close_if_busy = true;  // there are more workers than sockets
+  response.close_if_busy = true;  // workers can outnumber the sockets
   return response;
 }
 
-// A controller is unhealthy if it can reach neither the key-value store nor any peer. If no
-// controller can reach the store, all stay healthy, because a load balancer without targets would
-// only prolong the outage.
+// A controller that has peers is unhealthy if it can reach neither the key-value store nor any
+// peer. If no controller can reach the store, those that reach a peer stay healthy, because a load
+// balancer without targets would only prolong the outage.
 HttpResponse UserApi::HandleHealthCheck(const HttpRequest& request) {
   if (request.method != "GET") return MethodNotAllowedResponse("GET");
   const bool healthy = state_.StoreReachable() || peers_.empty() || peers_.AnyReachable();
@@ -42,8 +42,8 @@
   const RequestPermit permit(user_requests_);
   const RequestKind kind = request.method == "GET" ? RequestKind::kPoll : RequestKind::kChange;
   if (!permit.Admits(kind)) return BusyResponse("busy", 1);
-  // If the latest call to the key-value store failed, try a peer first. Otherwise handle the
-  // request here and forward it only if the store turns out to be unreachable.
+  // If the key-value store is unreachable, try a peer first. Otherwise handle the request here and
+  // forward it only if the store became unreachable in the meantime.
   const bool store_reachable = state_.StoreReachable();
   if (!store_reachable)
     if (auto response = peers_.ForwardJobRequest(request)) return *response;
--- a/src/controller/write_loop.h
+++ b/src/controller/write_loop.h
@@ -17,7 +17,7 @@
 // records.
 class WriteLoop {
  public:
-  // `wake_election` is called after the leadership was relinquished.
+  // `wake_election` is called after each relinquishment of the leadership.
   WriteLoop(LeaderState& state, KeyValueStore& store, std::function<void()> wake_election);
 
   // Starts the thread. The destructor stops it and waits for the outcome of the current batch.
--- a/tests/controller_threads_test.cc
+++ b/tests/controller_threads_test.cc
@@ -1,4 +1,4 @@
-// Tests of the controller's components that run threads: starting, stopping and basic function.
+// Tests of the controller's components that run threads: starting, stopping and basic functions.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -24,13 +24,13 @@
  public:
   GetResult Get(const std::string& /*key*/) override { return {StoreStatus::kOk, std::nullopt}; }
   RangeResult Range(const std::string& /*prefix*/, const std::string& /*after*/,
-                    std::uint32_t /*page*/) override {
+                    std::uint32_t /*limit*/) override {
     return {StoreStatus::kOk, {}, false, {1}};
   }
-  TransactionResult Commit(const Transaction& /*txn*/) override {
+  TransactionResult Commit(const Transaction& /*transaction*/) override {
     return {StoreStatus::kOk, {2}, {}};
   }
-  LeaseResult Grant(Seconds /*life*/) override { return {StoreStatus::kOk, {1}}; }
+  LeaseResult Grant(Seconds /*time_to_live*/) override { return {StoreStatus::kOk, {1}}; }
   StoreStatus KeepAlive(LeaseId /*lease*/) override { return StoreStatus::kOk; }
   WatchResult Watch(const std::string& /*prefix*/, Revision after, Seconds /*block*/) override {
     std::this_thread::sleep_for(std::chrono::milliseconds{1});
--- a/tests/golden_controller_test.cc
+++ b/tests/golden_controller_test.cc
@@ -42,7 +42,7 @@
   return true;
 }
 
-// Returns a response by path and records the distinct requests.
+// A simulated peer: answers each request according to its path and records the distinct requests.
 class PeerServer {
  public:
   PeerServer() : server_([this](const HttpRequest& request) { return Respond(request); }, {}) {
@@ -95,7 +95,7 @@
                      std::to_string(api_port_.address().port)),
         process_({MAGPIE_BINARY, "--config", file_prefix_ + ".toml"}, file_prefix_ + ".log"),
         user_client_(api_port_.address(), {1}, {5}, 1),
-        peer_client_(peer_address_.address(), {1}, {5}, 1) {}
+        peer_client_(peer_port_.address(), {1}, {5}, 1) {}
 
   void SetUp() override {
     ASSERT_TRUE(cloud_server_.Start({"127.0.0.1", 0}));
@@ -121,7 +121,7 @@
     scenario.teams = {{"vision"}};
     const Address cloud{"127.0.0.1", cloud_server_.port()};
     std::vector<load_test::ControllerPlan> plans(2);
-    plans[0] = {kController, "a", api_port_.address(), peer_address_.address(), state, cloud};
+    plans[0] = {kController, "a", api_port_.address(), peer_port_.address(), state, cloud};
     plans[1].label = kPeer;
     plans[1].zone = "b";
     plans[1].peer_address = peer_server_.address();
@@ -150,7 +150,7 @@
   PeerServer peer_server_;
   HttpServer cloud_server_;
   ReservedPort api_port_;
-  ReservedPort peer_address_;
+  ReservedPort peer_port_;
   std::string file_prefix_;
   ControllerProcess process_;
   HttpClient user_client_;
@@ -202,8 +202,8 @@
   ASSERT_TRUE(Eventually([&] { return store_->Get("c/m/nestbox-0").entry.has_value(); }));
   const std::string running = GoldenText("protocol/job_state_running.json");
   EXPECT_TRUE(Eventually([&] { return user_client_.Get(kJobPath).body == running; }));
-  // A worker without the leader's token is redirected. For a worker with that token, which has lost
-  // its connection to the leader, the heartbeat is relayed.
+  // A worker without the leader's token is redirected. A worker with that token has lost its
+  // connection to the leader, so its heartbeat is relayed.
   ExpectResponse(user_client_.Post("/checkin", GoldenText("protocol/report_all_states.json")), 421,
                  R"({"home_roost":"nestbox-1"})");
   ExpectResponse(user_client_.Post("/checkin", GoldenText("controllers/relayed_report.json")), 200,
--- a/tests/golden_http_test.cc
+++ b/tests/golden_http_test.cc
@@ -50,8 +50,8 @@
 
 class KeyValueStoreGoldenTest : public ::testing::Test {
  protected:
-  // Expects the request in this line of the requests file and returns the same line of the answers
-  // file.
+  // Starts a server that returns line `line` of the answers file, and expects the request in the
+  // same line of the requests file.
   void ExpectRequest(std::size_t line) {
     const std::vector<std::string> answers = GoldenLines("protocol/state_answers.txt");
     const std::vector<std::string> requests = GoldenLines("protocol/state_requests.txt");
@@ -180,11 +180,11 @@
   const auto types = cloud.Types();
   ASSERT_TRUE(types);
   EXPECT_EQ(types->size(), 2U);
-  const ScaleOutRequest order{"r-17", {"g8", "a", true}, 12};
-  const ProvisionResult provisioned = cloud.Provision(order);
+  const ScaleOutRequest scale_out{"r-17", {"g8", "a", true}, 12};
+  const ProvisionResult provisioned = cloud.Provision(scale_out);
   EXPECT_EQ(provisioned.status, CloudStatus::kOk);
   EXPECT_EQ(provisioned.machines, (std::vector<MachineId>{{"vm-000231"}, {"vm-000232"}}));
-  EXPECT_EQ(cloud.Provision(order).status, CloudStatus::kNoCapacity);
+  EXPECT_EQ(cloud.Provision(scale_out).status, CloudStatus::kNoCapacity);
   EXPECT_EQ(cloud.Release({{"vm-000231"}, {"vm-000232"}}), CloudStatus::kOk);
   const auto machines = cloud.List();
   ASSERT_TRUE(machines);
--- a/tests/golden_mesh_test.cc
+++ b/tests/golden_mesh_test.cc
@@ -45,8 +45,8 @@
   Scheduler scheduler_;
   LeaderHealth leader_health_;
   std::mutex mutex_;
-  HeartbeatHandler::ClusterView cluster_view_{"nestbox-1", Revision{2},
-                                              false};  // the epoch of the heartbeat's token
+  // The epoch is that of the token in kRelayedHeartbeatFile.
+  HeartbeatHandler::ClusterView cluster_view_{"nestbox-1", Revision{2}, false};
   HttpAnswer leader_answer_;
   std::vector<std::string> relayed_;
   HeartbeatHandler heartbeat_handler_;
@@ -65,7 +65,7 @@
   EXPECT_TRUE(cache_.IsCancelled({"j-000412"}));
 }
 
-// A worker with the current leader's token has lost its connection to the leader.
+// The worker has the current leader's token, so it has lost its connection to the leader.
 TEST_F(PeerMessagesGoldenTest, HeartbeatAndLeaderResponseAreRelayedUnchanged) {
   leader_answer_ = {true, true, 200, GoldenText("protocol/reply.json")};
   const HttpResponse response =
--- a/tests/golden_protocol_test.cc
+++ b/tests/golden_protocol_test.cc
@@ -84,7 +84,7 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    JobAnswers, ProtocolGoldenWriteTest,
+    JobResponses, ProtocolGoldenWriteTest,
     ::testing::Values(EncodedMessage{"Accepted", "protocol/job_answer_accepted.json",
                                      JobReplyEncoder(protocol::kQueued)},
                       EncodedMessage{"Cancelled", "protocol/job_answer_cancelled.json",
@@ -118,7 +118,7 @@
     RowName{});
 
 INSTANTIATE_TEST_SUITE_P(
-    CloudAndStateMessages, ProtocolGoldenWriteTest,
+    CloudAndStoreMessages, ProtocolGoldenWriteTest,
     ::testing::Values(
         EncodedMessage{"ProvisionSpot", "protocol/rent.json",
                        [] { return protocol::ProvisionToJson("r-17", "g8", "a", true, 12); }},
--- a/tests/golden_record_test.cc
+++ b/tests/golden_record_test.cc
@@ -210,7 +210,7 @@
   EXPECT_EQ(store.transactions, GoldenLines("records/membership_transactions.txt"));
 }
 
-// Commits the puts of the transaction in `line`, with the same lease.
+// Commits the puts of the transaction in `line` with their lease IDs.
 void CommitPuts(FakeStore& store, const std::string& line) {
   Transaction transaction;
   const Json body = Json::parse(line);
