--- a/src/controller/concurrency_limiter.h
+++ b/src/controller/concurrency_limiter.h
@@ -16,7 +16,7 @@
  public:
   struct Limits {
     std::size_t max_requests = std::numeric_limits<std::size_t>::max();
-    std::size_t max_requests_for_poll = max_requests;  // for polls
+    std::size_t max_requests_for_poll = max_requests;
   };
   explicit ConcurrencyLimiter(Limits limits) : limits_(limits) {}
 
--- a/src/controller/control_key_watcher.h
+++ b/src/controller/control_key_watcher.h
@@ -20,7 +20,7 @@
   void Start();
 
  private:
-  // One watch, starting at the revision where the previous one ended.
+  // Makes one watch call, starting at the revision where the previous one ended.
   StepResult WatchOnce();
 
   KeyValueStore& store_;
--- a/src/controller/election_loop.cc
+++ b/src/controller/election_loop.cc
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr Seconds kStepInterval{1};
-constexpr Seconds kRetryInterval{0.25};  // while the store fails or the jobs are not loaded
+constexpr Seconds kRetryInterval{0.25};  // if the store can't be reached or the jobs are not loaded
 constexpr Seconds kMaxRetryInterval{0.8};
 constexpr Seconds kWakeDebounce{0.1};  // wake-ups arrive in bursts
 
--- a/src/controller/heartbeat_handler.h
+++ b/src/controller/heartbeat_handler.h
@@ -43,8 +43,8 @@
     std::function<HttpAnswer(const std::string& peer, const std::string& body)> relay;
   };
   struct Options {
-    Seconds lease;         // of a worker
-    Seconds leader_lease;  // of the leader's key in the store
+    Seconds lease;         // duration of a worker's lease
+    Seconds leader_lease;  // duration of the lease on the leader's key in the store
     std::set<std::string> peers;
   };
 
@@ -59,7 +59,7 @@
   void OnLeaderChanged();
 
  private:
-  // Where a follower redirects a worker.
+  // How a follower responds to a worker's heartbeat.
   struct Redirection {
     std::string leader;                   // empty: there is no leader
     bool leader_unreachable = false;      // relay the heartbeat instead
--- a/src/controller/settings.h
+++ b/src/controller/settings.h
@@ -38,8 +38,8 @@
   std::vector<std::string> zones;
   std::vector<Team> teams;
   std::vector<Objective> objectives;
-  Seconds heartbeat_interval;  // of workers
-  Seconds lease;               // of workers
+  Seconds heartbeat_interval;  // between the heartbeats of a worker
+  Seconds lease;               // duration of a worker's lease
   Seconds cancel_deadline;     // time limit for the tasks of a cancelled job to end
   std::uint32_t max_transaction_operations = 16;  // puts and deletes
   double max_value_kib = 16;
