--- a/src/cloud/cloud_client.cc
+++ b/src/cloud/cloud_client.cc
@@ -33,7 +33,7 @@
   try {
     return protocol::TypesFromJson(protocol::ParseObject(answer.body));
   } catch (const protocol::InvalidMessage& error) {
-    spdlog::error("reject machine type list from cloud error=\"{}\"", error.what());
+    spdlog::error("machine types rejected error=\"{}\"", error.what());
     return std::nullopt;
   }
 }
@@ -47,7 +47,7 @@
   try {
     return {CloudStatus::kOk, protocol::MachineIdsFromJson(protocol::ParseObject(answer.body))};
   } catch (const protocol::InvalidMessage& error) {
-    spdlog::error("reject provision response from cloud error=\"{}\"", error.what());
+    spdlog::error("provisioning response rejected error=\"{}\"", error.what());
     return {CloudStatus::kUnknown, {}};
   }
 }
@@ -73,7 +73,7 @@
       if (!page.more || page.machines.empty()) return machines;
       after = page.machines.back().id;
     } catch (const protocol::InvalidMessage& error) {
-      spdlog::error("reject machine list page from cloud error=\"{}\"", error.what());
+      spdlog::error("machine list rejected error=\"{}\"", error.what());
       return std::nullopt;
     }
   }
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -76,7 +76,7 @@
   try {
     return handler_(request);
   } catch (const std::exception& error) {  // a handler may throw any exception
-    spdlog::error("fail request method={} path={} error=\"{}\"", request.method, request.path,
+    spdlog::error("request failed method={} path={} error=\"{}\"", request.method, request.path,
                   error.what());
     return {kServerError, R"({"error":"internal"})"};
   }
@@ -239,7 +239,7 @@
     std::thread([this] { ServeRequests(); }).detach();
   } catch (const std::system_error& error) {
     --threads_.total;
-    spdlog::error("fail to start request thread error=\"{}\"", error.what());
+    spdlog::error("request thread start failed error=\"{}\"", error.what());
   }
 }
 
--- a/src/records/write_batch_committer.cc
+++ b/src/records/write_batch_committer.cc
@@ -31,7 +31,7 @@
       case StoreStatus::kConflict:
         return AfterConflict(batch, leadership, result.failed, has_unanswered_attempt);
       case StoreStatus::kInvalid:
-        spdlog::error("retry transaction reason=\"rejected as malformed by key-value store\"");
+        spdlog::error("transaction rejected reason=malformed action=retry");
         hooks_.pause(kMaxBackoff);
         break;
       case StoreStatus::kUnknown:
--- a/src/scheduling/heartbeat_processor.cc
+++ b/src/scheduling/heartbeat_processor.cc
@@ -94,7 +94,7 @@
 // them, since it has lost its token. So the leader first sends a token above the tokens of these
 // commands, and the tasks stay bound until the worker has seen it (ProvesAbsence).
 void HeartbeatProcessor::OnAgentRestarted(Machine& machine, const Heartbeat& heartbeat) {
-  state_.decisions.Add("detect agent restart machine=" + machine.id.value);
+  state_.decisions.Add("agent restarted machine=" + machine.id.value);
   if (TokensExhausted(machine)) {
     cloud_.Release(machine);
     return;
--- a/src/worker/worker_client.cc
+++ b/src/worker/worker_client.cc
@@ -34,7 +34,7 @@
     return {DeliveryStatus::kAnswered,
             protocol::HeartbeatFromJson(protocol::ParseObject(answer.body))};
   } catch (const protocol::InvalidMessage& error) {
-    spdlog::error("reject direct command response machine={} error=\"{}\"",
+    spdlog::error("direct command response rejected machine={} error=\"{}\"",
                   direct_command.machine.value, error.what());
     return {DeliveryStatus::kUnknown, std::nullopt};
   }
