--- a/bench/binding_world.cc
+++ b/bench/binding_world.cc
@@ -122,7 +122,7 @@
       Measure("plan", [this] { core_->Tick(now_, {now_.value}); });
       next_planning = now_ + options_.planning_interval;
     }
-    AnswerCloudCalls();
+    RespondToCloudCalls();
     StartWrite();
     DeliverDirectCommandsAndProbes();
   }
@@ -186,7 +186,7 @@
   const std::string response_body = Measure("answer report", [&] {
     return protocol::HeartbeatResponseToJson(response.token, response.commands).dump();
   });
-  Record(testing::DecisionKind::kHeartbeatAnswer, heartbeat.machine.value, response_body);
+  Record(testing::DecisionKind::kHeartbeatResponse, heartbeat.machine.value, response_body);
   result_.steps["answer report"].bytes += response_body.size();
   workers_[worker]->OnAnswer(
       {agent::Answer::Kind::kOk, response.token, std::nullopt, response.commands}, now_);
@@ -233,7 +233,7 @@
   options_.decisions->Add({kind, now_, "leader", receiver, std::move(body)});
 }
 
-void ChurnSimulation::AnswerCloudCalls() {
+void ChurnSimulation::RespondToCloudCalls() {
   for (auto call = core_->NextCloudCall(now_); call; call = core_->NextCloudCall(now_)) {
     Record(testing::DecisionKind::kCloudCall, "cloud", testing::BodyOf(*call));
     if (call->kind == CloudCall::Kind::kRelease) core_->OnReleased(*call, now_);
--- a/bench/binding_world.h
+++ b/bench/binding_world.h
@@ -26,7 +26,7 @@
   std::uint32_t tasks_per_job = 50;
   Seconds heartbeat_interval{3};
   Seconds write_latency{0.01};
-  double writes_per_s = 1e9;  // page puts and deletions allowed
+  double writes_per_s = 1e9;  // limit of page puts and deletions
   Seconds planning_interval{0.25};
   Seconds warm_up_time{60};
   Seconds measured_time{60};
@@ -89,7 +89,7 @@
   void DeliverHeartbeat(std::size_t worker, const magpie::Heartbeat& heartbeat);
   void DeliverDirectCommandsAndProbes();
   void DeliverDirectCommand(const magpie::DirectCommand& direct_command);
-  void AnswerCloudCalls();
+  void RespondToCloudCalls();
   void CompleteDueWrite();
   void StartWrite();
   void CountWrite(const WriteBatch& batch);
--- a/bench/cluster_builder.cc
+++ b/bench/cluster_builder.cc
@@ -143,22 +143,22 @@
 
 Seconds BenchmarkCluster::RecoverFromLoss() {
   const Instant start = now_;
-  constexpr int kMaxSteps = 40000;  // bound on a run that does not recover
+  constexpr int kMaxSteps = 40000;  // ends a run that does not recover
   for (int step = 0;
        core_->GetStatus().machines_up + stopped_machines_ > heartbeats_.size() && step < kMaxSteps;
        ++step) {
     AdvanceTime({0.25});
     MeasureStep([this] {
-      AnswerProbes();
+      RespondToProbes();
       core_->Tick(now_, wall_time_);
-      AnswerCloudCalls();
+      RespondToCloudCalls();
     });
   }
   Tick();
   return now_ - start;
 }
 
-void BenchmarkCluster::AnswerProbes() {
+void BenchmarkCluster::RespondToProbes() {
   for (auto probe = core_->NextProbe(now_); probe; probe = core_->NextProbe(now_)) {
     const auto i = static_cast<std::size_t>(std::stoul(probe->machine.value.substr(3)));
     const bool stopped = i < stopped_machines_;
@@ -169,7 +169,7 @@
   }
 }
 
-void BenchmarkCluster::AnswerCloudCalls() {
+void BenchmarkCluster::RespondToCloudCalls() {
   while (auto call = core_->NextCloudCall(now_)) {
     if (call->kind == CloudCall::Kind::kRelease) core_->OnReleased(*call, now_);
     if (call->kind == CloudCall::Kind::kList) core_->OnListFailed(now_);
--- a/bench/cluster_builder.h
+++ b/bench/cluster_builder.h
@@ -29,7 +29,7 @@
   // Sends a heartbeat in which one more of the machine's tasks has ended.
   void ReportTaskEnd(std::size_t machine);
   void SubmitJob(std::uint32_t tasks);
-  // Advances the clock; machines whose heartbeats are due send them, in turn.
+  // Advances the clock; the machines send heartbeats in turn, each at its heartbeat interval.
   void AdvanceTime(Seconds time);
   // Stops the first `machines` machines; the others send heartbeats for 12 s, until the stopped
   // ones are overdue.
@@ -49,8 +49,8 @@
  private:
   void LoadRecords();
   void HandleHeartbeat(std::size_t machine);
-  void AnswerProbes();
-  void AnswerCloudCalls();
+  void RespondToProbes();
+  void RespondToCloudCalls();
   JobSpec MakeSpec(const std::string& id, std::uint32_t tasks) const;
 
   template <typename Step>
@@ -63,9 +63,9 @@
   Instant now_{1000};
   WallTime wall_time_{1000};
   std::uint64_t last_revision_ = 100;
-  std::size_t stopped_machines_ = 0;  // those with a lower index than this
-  std::size_t next_machine_ = 0;      // index of the next one to send a heartbeat
-  double due_heartbeats_ = 0;         // number, with a fractional part
+  std::size_t stopped_machines_ = 0;  // all machines with an index below this are stopped
+  std::size_t next_machine_ = 0;      // index of the machine that sends the next heartbeat
+  double due_heartbeats_ = 0;         // number of heartbeats to send, with a fractional part
   std::uint32_t submitted_jobs_ = 0;
 };
 
--- a/tests/decision_digest.h
+++ b/tests/decision_digest.h
@@ -1,9 +1,9 @@
 // A digest of the externally visible decisions of controllers: transactions sent to the key-value
 // store, commands to workers, responses to heartbeats, calls to the cloud, responses to users and
-// messages between controllers. Each is a line of text in wire format with its virtual time; the
-// lines are hashed in order. A change that must not alter any decision leaves the digest of every
-// seeded scenario unchanged (tools/same-decisions). Recording uses no random numbers and does not
-// block, so it does not affect a scenario.
+// messages between controllers. Each decision is a line of text in wire format with its virtual
+// time; the lines are hashed in order. A change that must not alter any decision leaves the digest
+// of every seeded scenario unchanged (tools/same-decisions). Recording uses no random numbers and
+// does not block, so it does not affect a scenario.
 #pragma once
 
 // Same definition as in model/id_hash.h.
@@ -28,9 +28,9 @@
 enum class DecisionKind {
   kTransaction,
   kCommand,
-  kHeartbeatAnswer,
+  kHeartbeatResponse,
   kCloudCall,
-  kUserAnswer,
+  kUserResponse,
   kPeerMessage,
 };
 
@@ -49,11 +49,11 @@
       return "transaction";
     case DecisionKind::kCommand:
       return "command";
-    case DecisionKind::kHeartbeatAnswer:
+    case DecisionKind::kHeartbeatResponse:
       return "heartbeat-answer";
     case DecisionKind::kCloudCall:
       return "cloud-call";
-    case DecisionKind::kUserAnswer:
+    case DecisionKind::kUserResponse:
       return "user-answer";
     case DecisionKind::kPeerMessage:
       return "peer-message";
@@ -81,8 +81,8 @@
   return line;
 }
 
-// Conditions as [key, revision], changes as [key, value, lease]. A null value deletes the key; a
-// null lease means none.
+// Conditions are written as [key, revision], changes as [key, value, lease]. A null value deletes
+// the key; with a null lease, the key has no lease.
 inline std::string BodyOf(const Transaction& transaction) {
   Json conditions = Json::array();
   for (const Condition& condition : transaction.conditions)
--- a/tests/fault_sweep_test.cc
+++ b/tests/fault_sweep_test.cc
@@ -43,7 +43,7 @@
     std::cout << "seeds with " << fault << ": " << seeds << "\n";
 }
 
-// Guards against results that depend on addresses or real clocks.
+// Fails if results depend on memory addresses or on real time.
 TEST(FaultSweepDeterminismTest, SameSeedGivesSameResult) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     DecisionDigest decisions_once;
@@ -74,8 +74,8 @@
   DecisionDigest decisions(&trace);
   RunSeed(1, BrokenBroadcast::kNone, &decisions);
   for (const DecisionKind kind :
-       {DecisionKind::kTransaction, DecisionKind::kCommand, DecisionKind::kHeartbeatAnswer,
-        DecisionKind::kCloudCall, DecisionKind::kUserAnswer, DecisionKind::kPeerMessage})
+       {DecisionKind::kTransaction, DecisionKind::kCommand, DecisionKind::kHeartbeatResponse,
+        DecisionKind::kCloudCall, DecisionKind::kUserResponse, DecisionKind::kPeerMessage})
     EXPECT_NE(trace.str().find(std::string(" ") + ToText(kind) + " "), std::string::npos)
         << ToText(kind);
 }
--- a/tests/job_fault_scenarios.cc
+++ b/tests/job_fault_scenarios.cc
@@ -90,7 +90,7 @@
   }
 }
 
-// Each write is committed but its response is lost, while users read the new state.
+// Writes are committed but their responses are lost, while users read the new state.
 void StoreResponseLostDuringReads(ScenarioCluster& cluster) {
   for (int i = 0; i < 8; ++i) {
     const std::string job = "j-2" + std::to_string(i);
@@ -164,7 +164,7 @@
 }
 
 // Machines cannot send heartbeats but receive commands and probes. Probe responses must not renew
-// leases: their tasks end and are started on machines that send heartbeats.
+// leases: the tasks of these machines end and start again on machines that send heartbeats.
 void MachinesWithoutHeartbeatsLoseLeasesDespiteProbes(ScenarioCluster& cluster) {
   cluster.ForEachMachine("a", [](auto& machine) { machine.sends_nothing = true; });
   cluster.Run(30);
@@ -182,7 +182,8 @@
   cluster.Run(30);
 }
 
-// Users cancel when the key-value store refuses the leader; a second later it refuses everyone.
+// Users cancel jobs while the key-value store refuses calls of the leader; a second later, it
+// refuses calls of all controllers.
 void CancellationWhenStoreRefusesLeaderBeforeOutage(ScenarioCluster& cluster) {
   const std::string leader = cluster.Leader();
   for (const char* job : {"j-10", "j-11"}) ASSERT_TRUE(cluster.Submit(job, 2, "n0"));
@@ -230,9 +231,9 @@
   EXPECT_EQ(unfinished, std::vector<std::string>{}) << "jobs left unfinished";
 }
 
-// All controllers, one of them without the key-value store, must reject jobs with missing or
-// invalid fields and jobs that fit no machine. They must not cancel unknown or completed jobs, or
-// accept known jobs again.
+// All controllers, of which one has no access to the key-value store, must reject jobs with missing
+// or invalid fields and jobs that fit no machine. They must not cancel unknown or completed jobs,
+// or accept malformed JSON or known jobs again.
 void InvalidRequestsAreRejected(ScenarioCluster& cluster) {
   cluster.CompleteAllTasks("j-2");
   cluster.Run(6);
--- a/tests/leader_fault_scenarios.cc
+++ b/tests/leader_fault_scenarios.cc
@@ -3,8 +3,8 @@
 
 namespace magpie::testing {
 
-// When a new leader starts, all controllers first receive earlier heartbeats, one or more of each
-// machine.
+// While a new leader takes over, all running controllers repeatedly receive two earlier heartbeats
+// of each machine.
 void StaleHeartbeatsAtAllControllersDuringTakeover(ScenarioCluster& cluster) {
   cluster.job_overrides["j-10"] = [](JobSpec& spec) { spec.team = "blue"; };
   ASSERT_TRUE(cluster.Submit("j-10", 4, "n0"));
@@ -36,7 +36,8 @@
   }
 }
 
-// Heartbeats sent before the leader crashes reach the next leader after it has acted.
+// Copies of heartbeats sent before the leader crashes reach another controller at least 6 s after
+// they were sent, when the next leader has taken over or is about to.
 void HeartbeatDelayedUntilNewLeaderActed(ScenarioCluster& cluster) {
   for (int round = 0; round < 4; ++round) {
     const std::string former_leader = cluster.Leader();
@@ -55,9 +56,9 @@
   }
 }
 
-// The leader changes ten times in two minutes, by crashes and refused calls. Controllers then
-// restart during an outage, in which no leader can be elected; all state except leases must survive
-// it.
+// The leader changes ten times in two minutes, because it crashes or the key-value store refuses
+// its calls. Controllers then restart during an outage, in which no leader can be elected; all
+// state except leases must survive the outage.
 void TenLeaderChangesInTwoMinutes(ScenarioCluster& cluster) {
   int changes = 0;
   std::string last = cluster.Leader();
@@ -105,7 +106,7 @@
   cluster.PollAllControllers("j-2");
 }
 
-// Commands of a leader that crashed or was deposed arrive after commands of the next leader.
+// Commands of a leader that crashed or lost the leadership arrive after those of the next leader.
 void LateCommandFromFormerLeader(ScenarioCluster& cluster) {
   for (int round = 0; round < 6; ++round) {
     const std::string job = "j-2" + std::to_string(round);
--- a/tests/random_draw.h
+++ b/tests/random_draw.h
@@ -10,7 +10,7 @@
 
 namespace magpie::testing {
 
-// Implemented without the standard distributions, whose results differ between libraries.
+// Does not use the standard distributions, because their results differ between libraries.
 class SeededRandom {
  public:
   explicit SeededRandom(std::uint64_t seed) : state_(seed) {}
--- a/tests/safety_check_test.cc
+++ b/tests/safety_check_test.cc
@@ -2,8 +2,8 @@
 // separately compiled sources in which checks can be disabled (model/safety_checks.h).
 //
 // Manual runs: MAGPIE_GUARDS="NUMBER..." disables these checks together, and MAGPIE_SEEDS=FROM..TO
-// selects the seeds. Prints the number of seeds that detect this, and the first three.
-// MAGPIE_FIRST=1 stops at the first, and MAGPIE_FAULT_LOG=1 prints the injected faults.
+// selects the seeds. Prints the number of seeds that violate an invariant, and the first three.
+// MAGPIE_FIRST=1 stops at the first one; MAGPIE_FAULT_LOG=1 prints the injected faults.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
--- a/tests/scenario_cluster.h
+++ b/tests/scenario_cluster.h
@@ -1,5 +1,5 @@
 // Extends SimulatedCluster for fault scenarios: users that poll all controllers, a partitioned zone
-// whose controller keeps serving its workers, and checks of the final state of each scenario.
+// with a controller that continues to serve its workers, and checks of each scenario's final state.
 #pragma once
 
 #include <set>
@@ -31,7 +31,7 @@
 
   // ---- Users
   // Queries the job and submits it again at every controller. Each response is checked against all
-  // earlier ones (CheckAnswer), and the known job must not be accepted as new or rejected as
+  // earlier ones (CheckResponse), and the known job must not be accepted as new or rejected as
   // invalid.
   void PollAllControllers(const std::string& job) {
     for (const std::string& label : labels) {
@@ -41,7 +41,7 @@
           controllers.at(label)->api.Submit(protocol::JobToRecord(Spec(job, jobs.at(job))).dump());
       if (resubmission.status == 201) violations.insert("accepted twice");
       if (resubmission.status == 400 || resubmission.status == 422) violations.insert("forgotten");
-      CheckAnswer(job, resubmission);
+      CheckResponse(job, resubmission);
     }
     for (const std::string& label : labels)
       if (IsUp(label) && controllers.at(label)->api.Query("j-999999").status == 200)
@@ -140,7 +140,7 @@
     controllers.at(inside_controller)->store.refused = false;
     ForEachMachine(zone, [](Machine& machine) { machine.partitioned = false; });
   }
-  // Advances one second, in which the zone's machines send heartbeats to its controller.
+  // Advances one second, in which the zone's machines send heartbeats to `inside_controller`.
   void StepInsidePartition(const std::string& zone, const std::string& inside_controller) {
     ForEachMachine(zone, [&](Machine& machine) {
       const HttpResponse response =
@@ -149,12 +149,12 @@
                   protocol::HeartbeatToJson(machine.worker.Snapshot()).dump(),
                   HeartbeatRoute::kDirect);
       if (response.status != 200) return;
-      const protocol::Json answer = protocol::Json::parse(response.body);
-      const HeartbeatResponse reply{true,
-                                    false,
-                                    {answer.at("crest").get<std::uint64_t>()},
-                                    protocol::CommandsFromJson(answer.at("calls"))};
-      if (machine.worker.Deliver(reply)) machine.lease_renewed = now;
+      const protocol::Json body = protocol::Json::parse(response.body);
+      const HeartbeatResponse parsed{true,
+                                     false,
+                                     {body.at("crest").get<std::uint64_t>()},
+                                     protocol::CommandsFromJson(body.at("calls"))};
+      if (machine.worker.Deliver(parsed)) machine.lease_renewed = now;
     });
     Run(1);
   }
--- a/tests/seed_run.cc
+++ b/tests/seed_run.cc
@@ -164,7 +164,7 @@
   const std::string& job = task.job.value;
   for (std::uint32_t i = 0; i < job_sizes_[job]; ++i)
     if (!cluster_.completed.contains({{job}, i})) return;
-  // Requests concurrent with the end of the job's last task.
+  // Users send requests around the end of the job's last task.
   if (random_.Chance(0.4)) PollAllControllersConcurrently(job);
   if (random_.Chance(0.2))
     cluster_.ScheduleAfter(random_.Duration(0, 0.6),
@@ -203,7 +203,7 @@
             label, [job](JobApi& api) { return api.Query(job); },
             [&, known = cluster_.CurrentUserView(job)](const HttpResponse& response) {
               answered = response.status == 200;
-              cluster_.CheckAnswer(job, known, response);
+              cluster_.CheckResponse(job, known, response);
             });
         cluster_.Run({0.2});
       }
--- a/tests/seed_run.h
+++ b/tests/seed_run.h
@@ -34,7 +34,7 @@
   void RunWorkload();
   void ScheduleWithinOneSecond(std::function<void()> action);
   void Submit(const std::string& job);
-  // Queries all controllers within milliseconds and may repeat the submission.
+  // Queries all controllers within 10 ms and may repeat the submission.
   void PollAllControllersConcurrently(const std::string& job);
   void EndRandomTasks(Machine& machine);
   void CompleteTask(Machine& machine, const TaskId& task);
@@ -53,7 +53,8 @@
   void PauseController(Seconds from, Seconds length, const std::string& label);
   void DelayCommands(Seconds from, Seconds length, double max_delay);
   void RepeatHeartbeats(Seconds from, Seconds length);
-  // A new leader first receives copies of old heartbeats, possibly out of order.
+  // When a new leader reads its records, all controllers receive copies of old heartbeats, possibly
+  // out of order.
   void SendStaleHeartbeats();
   Machine& RandomMachine();
   void Disconnect(Seconds from, Seconds length, Machine& machine, Connection connection);
@@ -76,15 +77,15 @@
   void ScheduleRandomFaults();
   void ScheduleRandomFault();
 
-  // The key-value store refuses only the leader, then all controllers, while users cancel.
+  // The key-value store refuses only the leader, then all controllers, while users cancel jobs.
   void RefuseLeaderThenStartOutage();
 
   // Machines lose their leases and receive tasks again by delayed commands. The leader crashes, and
-  // its successor receives copies of heartbeats from before and after.
+  // the next leader receives copies of heartbeats sent before and after the loss of the leases.
   void LoseLeasesThenSendStaleHeartbeats();
 
-  // Tasks fail, and workers forget them by command of a leader that cannot write the outcome. The
-  // next leader starts them again, and its successor receives the earlier outcome.
+  // Tasks fail, and a leader that cannot write their outcomes sends forget commands for them. The
+  // next leader starts the tasks again, and the leader after it receives the earlier outcomes.
   void ForgetOutcomesThenSendStaleHeartbeats();
 
   // Commands are delayed while the leader changes and machines receive nothing.
@@ -96,26 +97,26 @@
   // Workers restart, some without their state, while commands are delayed.
   void RestartWorkers();
 
-  // The key-value store refuses only the leader, whose workers keep sending it heartbeats. Machines
-  // with bindings that it has not started yet get a preemption notice, and another controller
-  // leads.
+  // The key-value store refuses only the leader, and workers continue to send it heartbeats.
+  // Machines with bound tasks that it has not started yet receive a preemption notice, and another
+  // controller becomes the leader.
   void DeposeLeaderKeepingWorkers();
 
   // Preemption notices move tasks between machines while heartbeats take seconds.
   void SendPreemptionNoticesDuringSlowHeartbeats();
 
-  // The key-value store refuses all controllers for at least the leader's lease. The leader may be
-  // served again first.
+  // The key-value store refuses all controllers for at least the duration of the leader's lease. It
+  // may serve the leader again before the others.
   void RefuseAllControllers();
 
-  // A zone's machines and one controller are partitioned from the rest, and users cancel around
-  // that time. The controller renews the workers' leases, also after its own restart.
+  // A zone's machines and one controller are partitioned from the rest, and users cancel jobs
+  // around that time. The controller renews the workers' leases, also after its own restart.
   void PartitionZone(Seconds from, Seconds length);
 
   // ---- Recovery and final checks (seed_run.cc)
   void ClearFaults();
 
-  // All controllers must report all jobs, with no state older than users have seen.
+  // All controllers must report all jobs, with states not older than those that users received.
   void PollAllJobsAtAllControllers();
 
   SeededRandom random_;
--- a/tests/seed_run_faults.cc
+++ b/tests/seed_run_faults.cc
@@ -125,7 +125,8 @@
       std::vector<int> indices;
       for (int i = random_.Between(1, 3); i > 0; --i)
         indices.push_back(random_.Below(static_cast<int>(machine.sent_heartbeats.size())));
-      // Often an earlier one and the latest: from different agent epochs or leader epochs.
+      // Often sends an earlier heartbeat and the latest one; their agent epochs or leader epochs
+      // may differ.
       if (random_.Chance(0.5))
         indices = {indices.front(), static_cast<int>(machine.sent_heartbeats.size()) - 1};
       std::vector<int> with_ended_tasks;
@@ -179,7 +180,7 @@
 void SeedRun::KillMachine(Seconds from, Machine& machine) {
   RecordFault("machine failed");
   InjectAfter(from, machine.worker.id().value + " fails", [this, &machine] {
-    if (machine.removed || &machine == &cluster_.machines.front()) return;  // keeps one
+    if (machine.removed || &machine == &cluster_.machines.front()) return;  // this one never fails
     machine.removed = true;
     machine.died = cluster_.now;
   });
--- a/tests/simulated_cluster.h
+++ b/tests/simulated_cluster.h
@@ -1,7 +1,7 @@
 // Simulates complete controllers with one key-value store in virtual time and injects faults:
 // - key-value store: refuses calls of one or all controllers, commits transactions late
 // - controllers: one-way or two-way partitions, crashes, restarts, pauses
-// - workers: receive nothing, send nothing, delayed messages
+// - workers: receive nothing, send nothing, receive or send messages late
 //
 // Scenarios use the fixed order: StepOneSecond() and AdvanceSeconds() let every participant act
 // once a second. The fault sweep uses the randomized schedule: after StartRandomizedSchedule(),
@@ -39,8 +39,8 @@
   kAcknowledgesWithoutRecording,  // a peer acknowledges without recording the cancellation
 };
 
-// Controllers, machines, users and the key-value store. CheckInvariants() and CheckAnswer() add the
-// names of violated invariants to `violations`:
+// Controllers, machines, users and the key-value store. CheckInvariants() and CheckResponse() add
+// the names of violated invariants to `violations`:
 // - ran_twice: a task runs twice at the same time
 // - quota: a team uses more than its limit
 // - wrong_place: a task violates its job's zone constraints
@@ -74,7 +74,7 @@
     bool removed = false;           // failed or released
     bool lost_state = false;        // restarted without its sequence numbers and fencing token
     std::optional<Instant> died;    // time of failure; the cloud still lists the machine
-    bool slow_heartbeats = false;   // up to three seconds in each direction
+    bool slow_heartbeats = false;   // delayed by up to three seconds in each direction
     std::optional<std::pair<Instant, std::string>> in_flight_heartbeat;
     int leases_lost = 0;
     std::deque<std::string> sent_heartbeats;  // most recent ones, oldest first
@@ -128,9 +128,9 @@
   };
   UserView CurrentUserView(const std::string& job) const;
   // Checks a response against the users' view and returns its job state; empty if it has none.
-  std::string CheckAnswer(const std::string& job, const HttpResponse& response);
-  std::string CheckAnswer(const std::string& job, const UserView& known,
-                          const HttpResponse& response);
+  std::string CheckResponse(const std::string& job, const HttpResponse& response);
+  std::string CheckResponse(const std::string& job, const UserView& known,
+                            const HttpResponse& response);
   std::string Cancel(const std::string& job, const std::string& via);
   std::string Poll(const std::string& job, const std::string& via);
 
@@ -165,7 +165,9 @@
   void AdvanceSeconds(int seconds);
 
   Machine* Find(const MachineId& id);
-  // Called when a task state or notice changed. The randomized schedule advances the heartbeat.
+  // Called when a task state or the preemption notice of a machine changed. In the randomized
+  // schedule, the machine then sends its next heartbeat within about a second, unless it awaits a
+  // response.
   void OnWorkerChanged(Machine& machine);
   std::size_t MachineCount() const;  // machines that are not removed
   // Delivers a delayed direct command. Drops it if the worker lost its fencing token and has not
@@ -202,9 +204,9 @@
   std::function<std::optional<std::pair<Instant, std::string>>()> repeat_heartbeat = [] {
     return std::nullopt;
   };
-  std::list<std::tuple<Instant, std::string, std::string>>
-      repeated_heartbeats;  // arrival time, controller, body
-  // Given the number of remembered heartbeats of a machine, returns the index of the one that a new
+  // Arrival time, controller and body of each duplicate heartbeat.
+  std::list<std::tuple<Instant, std::string, std::string>> repeated_heartbeats;
+  // Given the number of stored heartbeats of a machine, returns the index of the one that a new
   // leader receives first; none: no stale heartbeat.
   std::function<std::optional<std::size_t>(std::size_t)> stale_first_heartbeat = [](std::size_t) {
     return std::nullopt;
@@ -215,13 +217,14 @@
   std::string violation_log;        // first task that ran twice at once, for failure messages
   std::size_t max_events = 200000;  // exceeding this violates "endless"
   std::function<InjectedFault(const std::string& label, bool write)> inject_fault;
-  std::function<void(const std::string& job)>
-      on_job_state_changed;                 // accepted, cancelled or done, as seen by users
-  std::function<void()> on_leader_loading;  // called before and after it reads the records
+  // Called when users first receive the response that a job is accepted, cancelled or done.
+  std::function<void(const std::string& job)> on_job_state_changed;
+  // Called before and after a new leader reads the records.
+  std::function<void()> on_leader_loading;
   // Latency of a direct command or its response; less than the timeout.
   std::function<Seconds()> command_latency = [] { return Seconds{}; };
-  std::map<std::string, std::uint32_t>
-      submitted;  // jobs with their task counts, including unanswered submissions
+  // Jobs with their task counts, including submissions without a response.
+  std::map<std::string, std::uint32_t> submitted;
   bool grants_provisioning = false;  // provisioned machines start within two seconds
   Seconds cancel_deadline = kTestCancelDeadline;
   double writes_per_s = 1e9;  // write rate limit of a leader
@@ -242,13 +245,14 @@
 
   void ScheduleLeaseExpiry();
 
-  // Expires the worker's lease and sends its heartbeat if due, in the randomized schedule.
+  // In the randomized schedule: expires the worker's lease if it was not renewed in time, and sends
+  // a heartbeat if the time of the next one is reached.
   void RunWorker(Machine& machine);
 
   void DeliverHeartbeat(Machine& machine, std::uint64_t generation, Instant sent,
                         const std::string& body);
 
-  void OnHeartbeatAnswered(Machine& machine, std::uint64_t generation, Instant sent,
+  void OnHeartbeatResponse(Machine& machine, std::uint64_t generation, Instant sent,
                            const std::optional<HttpResponse>& response);
 
   static constexpr Seconds kHeartbeatTimeout{4};
@@ -260,7 +264,8 @@
   // Delivers earlier heartbeats to a new leader (stale_first_heartbeat).
   void SendStaleHeartbeats();
 
-  // Run ID of the last leader. Not its address, since a later process may reuse it.
+  // Run ID of the last leader. The address of its object does not identify it, because a later
+  // process may reuse the address.
   std::string last_leader_run_;
 
   void ExpireLeases();
@@ -268,8 +273,8 @@
   // The counterpart of RunWorker() in the fixed order, once a second.
   void StepWorker(Machine& machine);
 
-  // Stores a heartbeat for later duplicates and may schedule one.
-  void RememberHeartbeat(Machine& machine, const std::string& body);
+  // Stores a heartbeat so that it can be sent again later, and may schedule a duplicate of it.
+  void StoreSentHeartbeat(Machine& machine, const std::string& body);
 
   void SendHeartbeat(Machine& machine, Instant sent, const std::string& body);
 
--- a/tests/simulated_cluster_users.cc
+++ b/tests/simulated_cluster_users.cc
@@ -19,7 +19,7 @@
   const HttpResponse response = run.api.Submit(protocol::JobToRecord(Spec(job, tasks)).dump());
   const int status = response.status;
   run.store.rate_limited = rate_limited;
-  Record(DecisionKind::kUserAnswer, via, kUser, [&] { return BodyOf(response); });
+  Record(DecisionKind::kUserResponse, via, kUser, [&] { return BodyOf(response); });
   if (status == 200 || status == 201) jobs[job] = tasks;
   return status == 200 || status == 201;
 }
@@ -29,12 +29,12 @@
           reported_done.contains(job)};
 }
 
-std::string SimulatedCluster::CheckAnswer(const std::string& job, const HttpResponse& response) {
-  return CheckAnswer(job, CurrentUserView(job), response);
+std::string SimulatedCluster::CheckResponse(const std::string& job, const HttpResponse& response) {
+  return CheckResponse(job, CurrentUserView(job), response);
 }
 
-std::string SimulatedCluster::CheckAnswer(const std::string& job, const UserView& known,
-                                          const HttpResponse& response) {
+std::string SimulatedCluster::CheckResponse(const std::string& job, const UserView& known,
+                                            const HttpResponse& response) {
   if (response.status == 404 && known.accepted) violations.insert("forgotten");
   if (response.status != 200) return {};
   if (!jobs.contains(job) && !submitted.contains(job)) violations.insert("invented");
@@ -63,15 +63,15 @@
   if (!IsUp(via)) return {};
   requested_cancellations.insert(job);
   const HttpResponse response = controllers.at(via)->api.Cancel(job);
-  Record(DecisionKind::kUserAnswer, via, kUser, [&] { return BodyOf(response); });
-  return CheckAnswer(job, response);
+  Record(DecisionKind::kUserResponse, via, kUser, [&] { return BodyOf(response); });
+  return CheckResponse(job, response);
 }
 
 std::string SimulatedCluster::Poll(const std::string& job, const std::string& via) {
   if (!IsUp(via)) return {};
   const HttpResponse response = controllers.at(via)->api.Query(job);
-  Record(DecisionKind::kUserAnswer, via, kUser, [&] { return BodyOf(response); });
-  return CheckAnswer(job, response);
+  Record(DecisionKind::kUserResponse, via, kUser, [&] { return BodyOf(response); });
+  return CheckResponse(job, response);
 }
 
 void SimulatedCluster::SendUserRequest(
@@ -86,7 +86,7 @@
     try {
       const HttpResponse response = send(run.api);
       run.serving_request = false;
-      Record(DecisionKind::kUserAnswer, via, kUser, [&] { return BodyOf(response); });
+      Record(DecisionKind::kUserResponse, via, kUser, [&] { return BodyOf(response); });
       on_response(response);
     } catch (const SimulatedController::ProcessEnded&) {
     }
@@ -97,7 +97,7 @@
   SendUserRequest(
       via, [job](JobApi& api) { return api.Query(job); },
       [this, job, known = CurrentUserView(job)](const HttpResponse& response) {
-        CheckAnswer(job, known, response);
+        CheckResponse(job, known, response);
       });
 }
 
@@ -106,7 +106,7 @@
   SendUserRequest(
       via, [job](JobApi& api) { return api.Cancel(job); },
       [this, job, known = CurrentUserView(job)](const HttpResponse& response) {
-        CheckAnswer(job, known, response);
+        CheckResponse(job, known, response);
       });
 }
 
@@ -124,7 +124,7 @@
           violations.insert(response.status == 201 ? "went_back" : "forgotten");
         if (response.status != 200 && response.status != 201) return;
         const bool state_changed = jobs.emplace(job, tasks).second;
-        if (response.status == 200) CheckAnswer(job, known, response);
+        if (response.status == 200) CheckResponse(job, known, response);
         if (state_changed && on_job_state_changed) on_job_state_changed(job);
       });
 }
--- a/tests/simulated_cluster_workers.cc
+++ b/tests/simulated_cluster_workers.cc
@@ -9,7 +9,7 @@
   if (decisions != nullptr) {
     const std::string worker =
         protocol::HeartbeatFromJson(protocol::ParseObject(body)).machine.value;
-    Record(DecisionKind::kHeartbeatAnswer, label, worker, [&] { return BodyOf(response); });
+    Record(DecisionKind::kHeartbeatResponse, label, worker, [&] { return BodyOf(response); });
   }
   return response;
 }
@@ -37,7 +37,8 @@
       (machine->lost_state && machine->worker.token() == FencingToken{}))
     return;
   if (!machine->CanReceive()) {
-    // Retries until the machine is reachable; the sweep ends within minutes.
+    // Retries until the machine is reachable. The number of retries is limited because a seed ends
+    // after minutes of virtual time.
     if (random)
       ScheduleAfter(random->Duration(0.1, 1),
                     [this, direct_command] { DeliverCommand(direct_command); });
@@ -62,7 +63,7 @@
   return n;
 }
 
-int stale_batches = 0;  // not used; SimulatedCluster::stale_batches is
+int stale_batches = 0;  // unused; the counter in use is SimulatedCluster::stale_batches
 
 void SimulatedCluster::RepeatHeartbeat(const std::string& body, const std::string& at) {
   if (IsUp(at)) Heartbeat(at, body);
@@ -101,7 +102,7 @@
   machine.next_heartbeat = now + random->Duration(0.75 * kTestHeartbeatInterval.value,
                                                   1.25 * kTestHeartbeatInterval.value);
   const std::string body = protocol::HeartbeatToJson(machine.worker.Snapshot()).dump();
-  RememberHeartbeat(machine, body);
+  StoreSentHeartbeat(machine, body);
   machine.awaiting_response = true;
   const auto response_deadline = now + kHeartbeatTimeout;
   const auto generation = ++machine.generation;
@@ -119,17 +120,18 @@
   const std::string& destination = labels[machine.destination];
   if (!IsUp(destination) || machine.sends_nothing || machine.partitioned ||
       !machine.IsReachableFrom(destination))
-    return OnHeartbeatAnswered(machine, generation, sent, std::nullopt);
+    return OnHeartbeatResponse(machine, generation, sent, std::nullopt);
   const HttpResponse response = Heartbeat(destination, body);
   const Seconds latency = machine.slow_heartbeats ? random->Duration(0.1, 3) : Seconds{};
-  if (latency.value == 0) return OnHeartbeatAnswered(machine, generation, sent, response);
+  if (latency.value == 0) return OnHeartbeatResponse(machine, generation, sent, response);
   ScheduleAfter(latency,
-                [=, this, &machine] { OnHeartbeatAnswered(machine, generation, sent, response); });
+                [=, this, &machine] { OnHeartbeatResponse(machine, generation, sent, response); });
 }
 
-void SimulatedCluster::OnHeartbeatAnswered(Machine& machine, std::uint64_t generation, Instant sent,
+void SimulatedCluster::OnHeartbeatResponse(Machine& machine, std::uint64_t generation, Instant sent,
                                            const std::optional<HttpResponse>& response) {
-  // Drops responses after the heartbeat timeout (4 s) and those to an earlier agent epoch.
+  // Drops responses that arrive after the heartbeat timeout (4 s), or after the worker's lease
+  // expired or the worker restarted.
   if (machine.removed || machine.generation != generation || !machine.awaiting_response) return;
   machine.awaiting_response = false;
   if (!response || machine.receives_nothing)
@@ -165,14 +167,14 @@
   if (now < machine.next_heartbeat) return;
   machine.next_heartbeat = now + kTestHeartbeatInterval;
   const std::string body = protocol::HeartbeatToJson(machine.worker.Snapshot()).dump();
-  RememberHeartbeat(machine, body);
+  StoreSentHeartbeat(machine, body);
   if (machine.slow_heartbeats)
     machine.in_flight_heartbeat = {now, body};
   else
     SendHeartbeat(machine, now, body);
 }
 
-void SimulatedCluster::RememberHeartbeat(Machine& machine, const std::string& body) {
+void SimulatedCluster::StoreSentHeartbeat(Machine& machine, const std::string& body) {
   machine.sent_heartbeats.push_back(body);
   if (machine.sent_heartbeats.size() > 12) machine.sent_heartbeats.pop_front();
   if (const auto copy = repeat_heartbeat()) {
@@ -200,18 +202,18 @@
                                               const HttpResponse& response) {
   const std::string& destination = labels[machine.destination];
   if (response.status == 200) {
-    const protocol::Json answer = protocol::Json::parse(response.body);
-    HeartbeatResponse reply;
-    reply.token = {answer.at("crest").get<std::uint64_t>()};
-    reply.commands = protocol::CommandsFromJson(answer.at("calls"));
-    if (machine.worker.Deliver(reply)) machine.lease_renewed = sent;
-    if (!reply.commands.empty()) OnWorkerChanged(machine);
+    const protocol::Json body = protocol::Json::parse(response.body);
+    HeartbeatResponse parsed;
+    parsed.token = {body.at("crest").get<std::uint64_t>()};
+    parsed.commands = protocol::CommandsFromJson(body.at("calls"));
+    if (machine.worker.Deliver(parsed)) machine.lease_renewed = sent;
+    if (!parsed.commands.empty()) OnWorkerChanged(machine);
     CheckInvariants();
     return;
   }
   if (response.status == 421) {
-    const protocol::Json answer = protocol::Json::parse(response.body);
-    const auto it = std::find(labels.begin(), labels.end(), answer.value("home_roost", ""));
+    const protocol::Json body = protocol::Json::parse(response.body);
+    const auto it = std::find(labels.begin(), labels.end(), body.value("home_roost", ""));
     if (it != labels.end() && *it != destination) {
       machine.destination = static_cast<std::size_t>(it - labels.begin());
       machine.next_heartbeat = now + Seconds{0.5};
--- a/tests/simulated_controller.cc
+++ b/tests/simulated_controller.cc
@@ -322,13 +322,13 @@
   if (machine->worker.Take(direct_command) && !direct_command.commands.empty())
     cluster_.OnWorkerChanged(*machine);
   cluster_.CheckInvariants();
-  const Heartbeat answer = machine->worker.Snapshot();
+  const Heartbeat response = machine->worker.Snapshot();
   if (cluster_.random) Wait(cluster_.command_latency());
-  core.OnDirectCommandResult(direct_command, DeliveryStatus::kAnswered, answer, cluster_.now);
+  core.OnDirectCommandResult(direct_command, DeliveryStatus::kAnswered, response, cluster_.now);
 }
 
 void SimulatedController::SendDirectCommands() {
-  // More commands while no virtual time passes indicate an endless loop.
+  // More commands in one call indicate an endless loop.
   constexpr int kMaxAtOnce = 500;
   core.AllowTaskStarts(cancellations.Loaded());
   for (int i = 0; i < kMaxAtOnce; ++i) {
--- a/tests/simulated_controller.h
+++ b/tests/simulated_controller.h
@@ -30,7 +30,7 @@
 
 class SimulatedCluster;
 
-// One controller process. Counterpart of controller/controller.h without threads.
+// One controller process: the counterpart of controller/controller.h, without threads.
 class SimulatedController {
  public:
   SimulatedController(SimulatedCluster& cluster, std::string label, const std::string& nonce);
@@ -85,8 +85,7 @@
   bool loading_cancellations_ = false;
   WriteBatchCommitter writer_;
   std::optional<records::Leadership> leadership_;
-  std::optional<records::Leadership>
-      relinquished_leadership_;  // most recently relinquished leadership
+  std::optional<records::Leadership> relinquished_leadership_;
   std::optional<records::Leadership> write_leadership_;
   std::string leader_;
   Revision epoch_;
--- a/tests/stepped_fault_sweep.cc
+++ b/tests/stepped_fault_sweep.cc
@@ -147,7 +147,7 @@
 
   void KillMachine(int from, Machine& machine) {
     RecordFault("machine failed");
-    if (&machine == &cluster_.machines.front()) return;  // keeps one
+    if (&machine == &cluster_.machines.front()) return;  // this one never fails
     ScheduleAt(from, "a machine fails", [this, &machine] {
       if (machine.removed) return;
       machine.removed = true;
@@ -237,7 +237,7 @@
                [this] { cluster_.delay_command = [] { return std::nullopt; }; });
   }
 
-  // The key-value store refuses only the leader, then all controllers, while users cancel.
+  // The key-value store refuses only the leader, then all controllers, while users cancel jobs.
   void ScheduleRefusalThenOutage(const std::string& leader) {
     const int from = random_.Between(2, 10);
     RefuseStoreCalls(from, random_.Between(20, 80), leader);
@@ -318,7 +318,7 @@
     for (const auto& [job, tasks] : cluster_.jobs) cluster_.Poll(job, random_.Pick(labels_));
     CompleteRandomTasks();
     FailRandomTasks();
-    // Another job of the team at its limit.
+    // Users submit another job of the team that is at its limit.
     if (second == 12) cluster_.Submit("j-7", 2, random_.Pick(labels_));
     if (random_.Chance(0.05)) cluster_.Submit("j-3", cluster_.jobs["j-3"], random_.Pick(labels_));
     cluster_.StepOneSecond();
