--- a/bench/binding_world.h
+++ b/bench/binding_world.h
@@ -30,7 +30,7 @@
   Seconds planning_interval{0.25};
   Seconds warm_up_time{60};
   Seconds measured_time{60};
-  testing::DecisionDigest* decisions = nullptr;  // records the leader's messages, if set
+  testing::DecisionDigest* decisions = nullptr;  // records the leader's decisions, if set
 };
 
 // Measurements of one kind of step.
--- a/bench/cluster_builder.h
+++ b/bench/cluster_builder.h
@@ -29,7 +29,8 @@
   // Sends a heartbeat in which one more of the machine's tasks has ended.
   void ReportTaskEnd(std::size_t machine);
   void SubmitJob(std::uint32_t tasks);
-  // Advances the clock; the machines send heartbeats in turn, each at its heartbeat interval.
+  // Advances the clock; the machines that are not stopped send heartbeats in turn, each at the
+  // heartbeat interval.
   void AdvanceTime(Seconds time);
   // Stops the first `machines` machines; the others send heartbeats for 12 s, until the stopped
   // ones are overdue.
--- a/tests/seed_run.h
+++ b/tests/seed_run.h
@@ -13,8 +13,8 @@
 
 namespace magpie::testing {
 
-// One seed: the workload, the faults and the final checks. All randomness comes from `random_` and
-// from the cluster's own generator, so that a seed is reproducible.
+// One seed: the workload, the faults and the final checks. All randomness comes from `random_`, the
+// cluster's own generator and ThreadRandom(), which are seeded, so that a seed is reproducible.
 class SeedRun {
  public:
   SeedRun(std::uint64_t seed, BrokenBroadcast broken_broadcast, DecisionDigest* decisions);
--- a/tests/simulated_cluster.h
+++ b/tests/simulated_cluster.h
@@ -66,7 +66,8 @@
     FakeWorker worker;
     std::size_t destination = 0;  // index of the controller that receives the next heartbeat
     Instant next_heartbeat;
-    Instant lease_renewed;  // send time of the last accepted heartbeat
+    // Send time of the last accepted heartbeat, or the time of a later lease expiry or restart.
+    Instant lease_renewed;
     Instant booted_at;
     bool receives_nothing = false;  // responses and commands are lost
     bool sends_nothing = false;     // heartbeats are lost; commands arrive
--- a/tests/simulated_controller.cc
+++ b/tests/simulated_controller.cc
@@ -134,7 +134,8 @@
   Fiber* fiber = Fiber::Current();
   if (fiber == nullptr) return;
   const auto position = waiting_fibers_.insert(waiting_fibers_.end(), fiber);
-  // End() resumes the fiber early, and it may run other work when the scheduled resume arrives.
+  // End() resumes the fiber early. At the time of the scheduled resume, the fiber may run other
+  // work, which must not be resumed.
   const auto token = std::make_shared<bool>(true);
   const std::function<void()> resume = [this, fiber, weak = std::weak_ptr<bool>(token)] {
     if (weak.expired()) return;
@@ -156,23 +157,23 @@
   while (!waiting_fibers_.empty()) waiting_fibers_.front()->Resume();
 }
 
-void SimulatedController::ScheduleRepeatedly(void (SimulatedController::*body)(), double min_gap,
+void SimulatedController::ScheduleRepeatedly(void (SimulatedController::*step)(), double min_gap,
                                              double max_gap) {
   cluster_.ScheduleAfter(
       cluster_.random->Duration(min_gap, max_gap),
       [=, this, weak = std::weak_ptr<bool>(lifetime_)] {
         if (weak.expired()) return;
-        const bool idle = body != &SimulatedController::StepElection &&
-                          body != &SimulatedController::LoadCancellations && !leadership_;
-        if (idle || cluster_.IsPaused(label)) return ScheduleRepeatedly(body, min_gap, max_gap);
-        if (body == &SimulatedController::LoadCancellations && cancellations.Loaded()) return;
+        const bool idle = step != &SimulatedController::StepElection &&
+                          step != &SimulatedController::LoadCancellations && !leadership_;
+        if (idle || cluster_.IsPaused(label)) return ScheduleRepeatedly(step, min_gap, max_gap);
+        if (step == &SimulatedController::LoadCancellations && cancellations.Loaded()) return;
         cluster_.Spawn([=, this] {
           try {
-            (this->*body)();
+            (this->*step)();
           } catch (const ProcessEnded&) {
             return;
           }
-          ScheduleRepeatedly(body, min_gap, max_gap);
+          ScheduleRepeatedly(step, min_gap, max_gap);
         });
       });
 }
--- a/tests/simulated_controller.h
+++ b/tests/simulated_controller.h
@@ -42,7 +42,8 @@
   void Step();
   // Starts the loops as fibers in the randomized schedule.
   void StartLoops();
-  // Suspends the running fiber in the randomized schedule. Throws ProcessEnded.
+  // Suspends the running fiber in the randomized schedule. Throws ProcessEnded if the process ended
+  // meanwhile.
   void Wait(Seconds length);
   // Ends the process and all its waiting calls.
   void End();
@@ -63,7 +64,7 @@
   bool serving_request = false;  // one user request at a time reads the jobs
 
  private:
-  void ScheduleRepeatedly(void (SimulatedController::*body)(), double min_gap, double max_gap);
+  void ScheduleRepeatedly(void (SimulatedController::*step)(), double min_gap, double max_gap);
   void WaitForRetry();
   void StepElection();
   void LoadCancellations();
