--- a/bench/binding_world.h
+++ b/bench/binding_world.h
@@ -26,11 +26,11 @@
   std::uint32_t tasks_per_job = 50;
   Seconds heartbeat_interval{3};
   Seconds write_latency{0.01};
-  double writes_per_s = 1e9;  // page puts and deletions allowed
+  double writes_per_s = 1e9;  // limit of page puts and deletions
   Seconds planning_interval{0.25};
   Seconds warm_up_time{60};
   Seconds measured_time{60};
-  testing::DecisionDigest* decisions = nullptr;  // records the leader's messages, if set
+  testing::DecisionDigest* decisions = nullptr;  // records the leader's decisions, if set
 };
 
 // Measurements of one kind of step.
@@ -45,7 +45,7 @@
   std::map<std::string, StepCost> steps;
   std::uint64_t tasks_started = 0;
   std::uint64_t tasks_ended = 0;
-  double tasks_running = 0;  // at the end
+  double tasks_running = 0;  // at the end of the run
   std::uint64_t transactions = 0;
   std::uint64_t written_keys = 0;  // put or deleted
   std::uint64_t page_puts = 0;
@@ -53,7 +53,7 @@
   std::uint64_t rewritten_records = 0;  // written unchanged, with their page
   std::uint64_t new_record_bytes = 0;
   std::uint64_t page_bytes = 0;       // written by all page puts
-  std::size_t pages = 0;              // at the end
+  std::size_t pages = 0;              // at the end of the run
   std::uint64_t stored_bytes = 0;     // record pages and job records at the end
   std::size_t jobs = 0;               // active at the end
   std::size_t waiting_machines = 0;   // with undelivered commands at the end
@@ -89,7 +89,7 @@
   void DeliverHeartbeat(std::size_t worker, const magpie::Heartbeat& heartbeat);
   void DeliverDirectCommandsAndProbes();
   void DeliverDirectCommand(const magpie::DirectCommand& direct_command);
-  void AnswerCloudCalls();
+  void RespondToCloudCalls();
   void CompleteDueWrite();
   void StartWrite();
   void CountWrite(const WriteBatch& batch);
--- a/tests/seed_run.h
+++ b/tests/seed_run.h
@@ -13,8 +13,8 @@
 
 namespace magpie::testing {
 
-// One seed: the workload, the faults and the final checks. All randomness comes from `random_` and
-// from the cluster's own generator, so that a seed is reproducible.
+// One seed: the workload, the faults and the final checks. All randomness comes from `random_`, the
+// cluster's own generator and ThreadRandom(), which are seeded, so that a seed is reproducible.
 class SeedRun {
  public:
   SeedRun(std::uint64_t seed, BrokenBroadcast broken_broadcast, DecisionDigest* decisions);
@@ -24,8 +24,8 @@
  private:
   using Machine = SimulatedCluster::Machine;
   // How a machine is disconnected from the controllers.
-  enum class Connection { kReceivesNothing, kSendsNothing, kPartitioned };
-  static const char* Describe(Connection connection);
+  enum class Disconnection { kReceivesNothing, kSendsNothing, kPartitioned };
+  static const char* Describe(Disconnection disconnection);
 
   std::uint32_t RandomBit();
   void ConfigureJobs();
@@ -34,7 +34,7 @@
   void RunWorkload();
   void ScheduleWithinOneSecond(std::function<void()> action);
   void Submit(const std::string& job);
-  // Queries all controllers within milliseconds and may repeat the submission.
+  // Queries all controllers within 10 ms and may repeat the submission.
   void PollAllControllersConcurrently(const std::string& job);
   void EndRandomTasks(Machine& machine);
   void CompleteTask(Machine& machine, const TaskId& task);
@@ -53,10 +53,11 @@
   void PauseController(Seconds from, Seconds length, const std::string& label);
   void DelayCommands(Seconds from, Seconds length, double max_delay);
   void RepeatHeartbeats(Seconds from, Seconds length);
-  // A new leader first receives copies of old heartbeats, possibly out of order.
+  // When a new leader reads its records, all controllers receive copies of old heartbeats, possibly
+  // out of order.
   void SendStaleHeartbeats();
   Machine& RandomMachine();
-  void Disconnect(Seconds from, Seconds length, Machine& machine, Connection connection);
+  void Disconnect(Seconds from, Seconds length, Machine& machine, Disconnection disconnection);
   Seconds RandomDurationNearLease();
   void KillMachine(Seconds from, Machine& machine);
   void RestartWorker(Seconds from, Machine& machine, bool loses_state);
@@ -76,15 +77,17 @@
   void ScheduleRandomFaults();
   void ScheduleRandomFault();
 
-  // The key-value store refuses only the leader, then all controllers, while users cancel.
+  // The key-value store refuses only the leader, then all controllers, while users cancel jobs.
   void RefuseLeaderThenStartOutage();
 
   // Machines lose their leases and receive tasks again by delayed commands. The leader crashes, and
-  // its successor receives copies of heartbeats from before and after.
+  // the next leader receives copies of heartbeats sent before and after the loss of the leases.
   void LoseLeasesThenSendStaleHeartbeats();
 
-  // Tasks fail, and workers forget them by command of a leader that cannot write the outcome. The
-  // next leader starts them again, and its successor receives the earlier outcome.
+  // Tasks often fail while leaders crash or the key-value store refuses them. If a leader that
+  // cannot write the outcome of a task sent a forget command for it, the next leader would start
+  // the task again, and the leader after that would receive the earlier outcome in a copy of a
+  // heartbeat.
   void ForgetOutcomesThenSendStaleHeartbeats();
 
   // Commands are delayed while the leader changes and machines receive nothing.
@@ -96,26 +99,26 @@
   // Workers restart, some without their state, while commands are delayed.
   void RestartWorkers();
 
-  // The key-value store refuses only the leader, whose workers keep sending it heartbeats. Machines
-  // with bindings that it has not started yet get a preemption notice, and another controller
-  // leads.
+  // The key-value store refuses only the leader, and workers continue to send it heartbeats.
+  // Machines, some with bound tasks that it has not started yet, receive preemption notices, and
+  // another controller becomes the leader.
   void DeposeLeaderKeepingWorkers();
 
   // Preemption notices move tasks between machines while heartbeats take seconds.
   void SendPreemptionNoticesDuringSlowHeartbeats();
 
-  // The key-value store refuses all controllers for at least the leader's lease. The leader may be
-  // served again first.
+  // The key-value store refuses all controllers for at least the duration of the leader's lease. It
+  // may serve the leader again before the others.
   void RefuseAllControllers();
 
-  // A zone's machines and one controller are partitioned from the rest, and users cancel around
-  // that time. The controller renews the workers' leases, also after its own restart.
+  // A zone's machines and one controller are partitioned from the rest, and users cancel jobs
+  // around that time. The controller renews the workers' leases, also after its own restart.
   void PartitionZone(Seconds from, Seconds length);
 
   // ---- Recovery and final checks (seed_run.cc)
   void ClearFaults();
 
-  // All controllers must report all jobs, with no state older than users have seen.
+  // All controllers must report all jobs, with states not older than those that users received.
   void PollAllJobsAtAllControllers();
 
   SeededRandom random_;
--- a/tests/simulated_cluster_users.cc
+++ b/tests/simulated_cluster_users.cc
@@ -14,12 +14,13 @@
   if (!IsUp(via)) return false;
   submitted.emplace(job, tasks);
   // Disables rate limiting: no time passes in this call, so a submission could not back off.
-  SimulatedController& run = *controllers.at(via);
-  const auto rate_limited = std::exchange(run.store.rate_limited, [] { return false; });
-  const HttpResponse response = run.api.Submit(protocol::JobToRecord(Spec(job, tasks)).dump());
+  SimulatedController& controller = *controllers.at(via);
+  const auto rate_limited = std::exchange(controller.store.rate_limited, [] { return false; });
+  const HttpResponse response =
+      controller.api.Submit(protocol::JobToRecord(Spec(job, tasks)).dump());
   const int status = response.status;
-  run.store.rate_limited = rate_limited;
-  Record(DecisionKind::kUserAnswer, via, kUser, [&] { return BodyOf(response); });
+  controller.store.rate_limited = rate_limited;
+  Record(DecisionKind::kUserResponse, via, kUser, [&] { return BodyOf(response); });
   if (status == 200 || status == 201) jobs[job] = tasks;
   return status == 200 || status == 201;
 }
@@ -29,12 +30,12 @@
           reported_done.contains(job)};
 }
 
-std::string SimulatedCluster::CheckAnswer(const std::string& job, const HttpResponse& response) {
-  return CheckAnswer(job, CurrentUserView(job), response);
+std::string SimulatedCluster::CheckResponse(const std::string& job, const HttpResponse& response) {
+  return CheckResponse(job, CurrentUserView(job), response);
 }
 
-std::string SimulatedCluster::CheckAnswer(const std::string& job, const UserView& known,
-                                          const HttpResponse& response) {
+std::string SimulatedCluster::CheckResponse(const std::string& job, const UserView& known,
+                                            const HttpResponse& response) {
   if (response.status == 404 && known.accepted) violations.insert("forgotten");
   if (response.status != 200) return {};
   if (!jobs.contains(job) && !submitted.contains(job)) violations.insert("invented");
@@ -63,15 +64,15 @@
   if (!IsUp(via)) return {};
   requested_cancellations.insert(job);
   const HttpResponse response = controllers.at(via)->api.Cancel(job);
-  Record(DecisionKind::kUserAnswer, via, kUser, [&] { return BodyOf(response); });
-  return CheckAnswer(job, response);
+  Record(DecisionKind::kUserResponse, via, kUser, [&] { return BodyOf(response); });
+  return CheckResponse(job, response);
 }
 
 std::string SimulatedCluster::Poll(const std::string& job, const std::string& via) {
   if (!IsUp(via)) return {};
   const HttpResponse response = controllers.at(via)->api.Query(job);
-  Record(DecisionKind::kUserAnswer, via, kUser, [&] { return BodyOf(response); });
-  return CheckAnswer(job, response);
+  Record(DecisionKind::kUserResponse, via, kUser, [&] { return BodyOf(response); });
+  return CheckResponse(job, response);
 }
 
 void SimulatedCluster::SendUserRequest(
@@ -81,12 +82,12 @@
     // One request at a time: JobCache blocks the thread during another read, which would deadlock
     // the fibers.
     if (!IsUp(via) || controllers.at(via)->is_reading_jobs()) return;
-    SimulatedController& run = *controllers.at(via);
-    run.serving_request = true;
+    SimulatedController& controller = *controllers.at(via);
+    controller.serving_request = true;
     try {
-      const HttpResponse response = send(run.api);
-      run.serving_request = false;
-      Record(DecisionKind::kUserAnswer, via, kUser, [&] { return BodyOf(response); });
+      const HttpResponse response = send(controller.api);
+      controller.serving_request = false;
+      Record(DecisionKind::kUserResponse, via, kUser, [&] { return BodyOf(response); });
       on_response(response);
     } catch (const SimulatedController::ProcessEnded&) {
     }
@@ -97,7 +98,7 @@
   SendUserRequest(
       via, [job](JobApi& api) { return api.Query(job); },
       [this, job, known = CurrentUserView(job)](const HttpResponse& response) {
-        CheckAnswer(job, known, response);
+        CheckResponse(job, known, response);
       });
 }
 
@@ -106,7 +107,7 @@
   SendUserRequest(
       via, [job](JobApi& api) { return api.Cancel(job); },
       [this, job, known = CurrentUserView(job)](const HttpResponse& response) {
-        CheckAnswer(job, known, response);
+        CheckResponse(job, known, response);
       });
 }
 
@@ -124,7 +125,7 @@
           violations.insert(response.status == 201 ? "went_back" : "forgotten");
         if (response.status != 200 && response.status != 201) return;
         const bool state_changed = jobs.emplace(job, tasks).second;
-        if (response.status == 200) CheckAnswer(job, known, response);
+        if (response.status == 200) CheckResponse(job, known, response);
         if (state_changed && on_job_state_changed) on_job_state_changed(job);
       });
 }
--- a/tests/simulated_controller.h
+++ b/tests/simulated_controller.h
@@ -30,7 +30,7 @@
 
 class SimulatedCluster;
 
-// One controller process. Counterpart of controller/controller.h without threads.
+// One controller process: the counterpart of controller/controller.h, without threads.
 class SimulatedController {
  public:
   SimulatedController(SimulatedCluster& cluster, std::string label, const std::string& nonce);
@@ -42,7 +42,8 @@
   void Step();
   // Starts the loops as fibers in the randomized schedule.
   void StartLoops();
-  // Suspends the running fiber in the randomized schedule. Throws ProcessEnded.
+  // Suspends the running fiber in the randomized schedule. Throws ProcessEnded if the process ended
+  // meanwhile.
   void Wait(Seconds length);
   // Ends the process and all its waiting calls.
   void End();
@@ -63,7 +64,7 @@
   bool serving_request = false;  // one user request at a time reads the jobs
 
  private:
-  void Loop(void (SimulatedController::*body)(), double min_gap, double max_gap);
+  void ScheduleRepeatedly(void (SimulatedController::*step)(), double min_gap, double max_gap);
   void WaitForRetry();
   void StepElection();
   void LoadCancellations();
@@ -85,8 +86,7 @@
   bool loading_cancellations_ = false;
   WriteBatchCommitter writer_;
   std::optional<records::Leadership> leadership_;
-  std::optional<records::Leadership>
-      relinquished_leadership_;  // most recently relinquished leadership
+  std::optional<records::Leadership> relinquished_leadership_;
   std::optional<records::Leadership> write_leadership_;
   std::string leader_;
   Revision epoch_;
