--- a/src/load_test/checker.h
+++ b/src/load_test/checker.h
@@ -1,8 +1,4 @@
-// Checks a history of events against the rules of PROTOCOL ("Rules"). The caller passes the events
-// in order. The checker does not store them: it keeps only the state that later checks need, with
-// one entry per submitted job.
-//
-// Not thread-safe.
+// The checker of a load test's history, its rules and the violations that it finds.
 #pragma once
 
 #include <array>
@@ -24,6 +20,7 @@
 
 namespace magpie::load_test {
 
+// A rule of PROTOCOL that Checker verifies.
 enum class Rule : std::uint8_t {
   kRanTwice,
   kQuota,
@@ -38,12 +35,17 @@
 // The name of the rule in PROTOCOL.
 const char* RuleName(Rule rule);
 
+// A contradiction of a rule in the history, with the time at which it was found. `text` describes
+// it in the results.
 struct Violation {
   Rule rule = Rule::kNothingRan;
   Instant at;
   std::string text;
 };
 
+// Checks a history of events against the rules of PROTOCOL ("Rules"). The caller passes the events
+// in order. The checker does not store them: it keeps only the state that later checks need, with
+// one entry per submitted job. Not thread-safe.
 class Checker {
  public:
   struct Options {
--- a/src/load_test/cloud.h
+++ b/src/load_test/cloud.h
@@ -1,5 +1,4 @@
-// The cloud of PROTOCOL as a state machine: idempotent rentals by name, boot times, a delayed
-// machine list, limited capacity and a request rate. The caller passes the time. Not thread-safe.
+// The simulated cloud without its HTTP server, and the requests and results of its functions.
 #pragma once
 
 #include <cstdint>
@@ -18,6 +17,8 @@
 
 namespace magpie::load_test {
 
+// A request for `count` machines of one type in one zone. Provision returns the same machines for
+// a repeated `name`; AddBooted ignores it.
 struct RentalRequest {
   std::string name;
   std::string type;
@@ -26,8 +27,12 @@
   std::uint32_t count = 0;
 };
 
+// Whether a request to the cloud succeeded, or why it was rejected. Cloud does not return
+// kRateLimited: Admit reports the limit instead.
 enum class CloudStatus : std::uint8_t { kOk, kRateLimited, kNoCapacity, kInvalid };
 
+// The result of Cloud::Provision. `machines` can be fewer than requested if capacity is short, and
+// is empty unless the status is kOk.
 struct RentalResult {
   CloudStatus status = CloudStatus::kOk;
   std::vector<MachineId> machines;
@@ -41,6 +46,8 @@
   bool spot = false;
 };
 
+// The cloud of PROTOCOL as a state machine: idempotent rentals by name, boot times, a delayed
+// machine list, limited capacity and a request rate. The caller passes the time. Not thread-safe.
 class Cloud {
  public:
   struct Options {
--- a/src/load_test/cloud_server.h
+++ b/src/load_test/cloud_server.h
@@ -1,4 +1,4 @@
-// Serves the simulated cloud over HTTP.
+// The HTTP server of the simulated cloud.
 #pragma once
 
 #include <memory>
@@ -9,6 +9,8 @@
 
 namespace magpie::load_test {
 
+// Serves the simulated cloud over HTTP at one address, applies its request rate and advances it
+// periodically. Not thread-safe: once the loop runs, only its thread uses the server.
 class CloudServer {
  public:
   struct Counts {
--- a/src/load_test/codec.h
+++ b/src/load_test/codec.h
@@ -44,6 +44,8 @@
 
 // Parses a controller's response to a heartbeat.
 agent::Answer AnswerFromResponse(int status, const std::string& body);
+// The content of a direct command message from a controller to a worker. The token and the agent
+// epoch have no value if the message lacks them.
 struct DirectCommands {
   std::optional<FencingToken> token;
   std::optional<std::uint64_t> agent_epoch;
--- a/src/load_test/controller_group.h
+++ b/src/load_test/controller_group.h
@@ -1,4 +1,4 @@
-// Starts, kills, restarts and measures the controller processes of a run.
+// The controller processes of a run and their resource usage.
 #pragma once
 
 #include <memory>
@@ -19,6 +19,8 @@
   double follower_peak_mb = 0;
 };
 
+// Starts, kills, restarts and measures the controller processes of a run, and owns them. Not
+// thread-safe.
 class ControllerGroup {
  public:
   void Add(ControllerPlan plan, std::unique_ptr<ControllerProcess> process);
--- a/src/load_test/controller_process.h
+++ b/src/load_test/controller_process.h
@@ -37,6 +37,9 @@
   int port_ = 0;
 };
 
+// The label, zone and addresses of one controller, from which its settings file is generated. It
+// listens on `api` for workers and users and on `peer_address` for other controllers; `state` and
+// `cloud` are the addresses of the services that it uses.
 struct ControllerPlan {
   std::string label;
   std::string zone;
--- a/src/load_test/event_loop.h
+++ b/src/load_test/event_loop.h
@@ -1,9 +1,5 @@
-// An event loop on one thread: HTTP servers and clients on loopback, and timers. Only event_loop.cc
+// An event loop and the HTTP messages that its servers and clients exchange. Only event_loop.cc
 // includes Boost.Asio and Boost.Beast.
-//
-// Handlers run on the loop's thread and must not block. While a loop runs, the loop and the objects
-// that it creates are used on its thread; only Post, Stop, Listen and MakeTimer may be called from
-// other threads.
 #pragma once
 
 #include <atomic>
@@ -25,23 +21,31 @@
   std::atomic<std::uint64_t> bytes_out{0};
 };
 
+// An HTTP request without its headers. `target` is the path with the query.
 struct HttpCall {
   std::string method;
   std::string target;
   std::string body;
 };
 
+// The status and body of the HTTP response that a server sends.
 struct HttpReply {
   int status = 200;
   std::string body;
 };
 
+// The result of a client's request: the status and body of the response, if there was one.
 struct HttpOutcome {
   bool answered = false;  // false if there was no connection or no complete response in time
   int status = 0;
   std::string body;
 };
 
+// An event loop on one thread: HTTP servers and clients on loopback, and timers.
+//
+// Handlers run on the loop's thread and must not block. While a loop runs, the loop and the
+// objects that it creates are used on its thread; only Post, Stop, Listen and MakeTimer may be
+// called from other threads.
 class EventLoop {
  public:
   EventLoop();
--- a/src/load_test/fault_schedule.h
+++ b/src/load_test/fault_schedule.h
@@ -1,4 +1,4 @@
-// Injects the faults of a scenario at their times, and ends each after its duration.
+// Fault injection during a load test.
 #pragma once
 
 #include <functional>
@@ -14,6 +14,9 @@
 
 namespace magpie::load_test {
 
+// Injects the faults of a scenario at their times. After a fault's duration, restarts the killed
+// controller or ends the outage or the unreachability. Not thread-safe, and must not be used on
+// the threads of the services' loop and of the worker pool.
 class FaultSchedule {
  public:
   // The objects in which faults are injected. All must outlive the schedule.
--- a/src/load_test/history.h
+++ b/src/load_test/history.h
@@ -49,6 +49,7 @@
   kNoAnswer,  // any other status, or no response in time
 };
 
+// The kind of request that a user sends to a controller about a job.
 enum class UserRequest : std::uint8_t { kSubmit, kPoll, kCancel };
 
 // The response to a user's request, or the lack of one.
@@ -64,6 +65,7 @@
   JobId job;
 };
 
+// One entry of the history: what was observed, and when it was recorded.
 struct Event {
   Instant at;
   std::variant<MachineBooted, TaskStarted, TaskEnded, JobSubmitted, UserRequestAnswered,
--- a/src/load_test/networked_worker.h
+++ b/src/load_test/networked_worker.h
@@ -1,5 +1,4 @@
-// A simulated worker on the network: sends heartbeats to controllers over persistent connections
-// and serves direct commands, on the thread of its loop.
+// A worker of a load test, and the settings and counters that all its workers share.
 #pragma once
 
 #include <cstdint>
@@ -39,6 +38,8 @@
   std::atomic<std::uint64_t> failed_heartbeats{0};  // no response, or an unexpected status
 };
 
+// A simulated worker on the network: sends heartbeats to controllers over persistent connections
+// and serves direct commands, on the thread of its loop.
 class NetworkedWorker {
  public:
   // `context`, `jobs` and `recorder` must outlive the worker. Any thread may create it; it is used
--- a/src/load_test/rate_limit.h
+++ b/src/load_test/rate_limit.h
@@ -1,5 +1,4 @@
-// A token bucket. Its capacity is the number of tokens that its rate yields in the time `burst`,
-// but at least 1.
+// The rate limit of the simulated services.
 #pragma once
 
 #include <algorithm>
@@ -8,6 +7,8 @@
 
 namespace magpie::load_test {
 
+// A token bucket. Its capacity is the number of tokens that its rate yields in the time `burst`,
+// but at least 1. Not thread-safe.
 class RateLimit {
  public:
   // A rate of 0 means no limit.
--- a/src/load_test/recorder.h
+++ b/src/load_test/recorder.h
@@ -1,5 +1,4 @@
-// Records the events of users and workers, passes them to the checker, and computes statistics.
-// Thread-safe.
+// The recorder of a load test's events and the statistics that it computes.
 #pragma once
 
 #include <cstdint>
@@ -17,6 +16,8 @@
 
 namespace magpie::load_test {
 
+// Records the events of users and workers, passes them to the checker, and computes statistics.
+// Thread-safe.
 class Recorder : public TaskObserver {
  public:
   explicit Recorder(Checker::Options options);
--- a/src/load_test/run.h
+++ b/src/load_test/run.h
@@ -1,4 +1,4 @@
-// One load test: controller processes, and simulated services, workers and users in this process.
+// The execution of a load test from its setup to its results.
 #pragma once
 
 #include <filesystem>
@@ -33,6 +33,8 @@
 // Called periodically with the finished fraction of the run, 0 to 1, and a status text.
 using Progress = std::function<void(double, const std::string&)>;
 
+// One load test: controller processes, and simulated services, workers and users in this process.
+// Owns all of them and their threads. Not thread-safe; Execute may be called only once.
 class Run {
  public:
   // Settings and logs are written to `folder`.
--- a/src/load_test/scenario.h
+++ b/src/load_test/scenario.h
@@ -1,4 +1,4 @@
-// The scenario of a load test, read from a TOML file. Unknown keys are rejected.
+// Scenarios of load tests, their faults, and the functions that read and validate them.
 #pragma once
 
 #include <cstdint>
@@ -38,6 +38,8 @@
   std::uint32_t count = 1;  // number of machines, for kRack and kMachines
 };
 
+// The number of controllers in a scenario, the resources that their settings files state, and
+// their properties file. If `memory_mb` is 0, the settings files state no memory size.
 struct ControllerSettings {
   std::uint32_t count = 3;
   double memory_mb = 0;
@@ -45,6 +47,8 @@
   std::string properties;  // path of a properties file; empty: generate one
 };
 
+// The controllers, simulated cluster, jobs and faults of a load test, read from a TOML file in
+// which unknown keys are rejected, and the scale and duration from the command line.
 struct Scenario {
   std::string binary = "target/magpieswitch";
   ControllerSettings controllers;
--- a/src/load_test/simulated_worker.h
+++ b/src/load_test/simulated_worker.h
@@ -1,8 +1,4 @@
-// A worker that simulates its tasks. It runs the state machine of src/agent, but instead of
-// fetching images and starting processes it only computes the times at which they end. Nothing is
-// stored, so a restarted task runs its whole run time again.
-//
-// No I/O: the caller passes the time and transports the messages. Not thread-safe.
+// A worker with simulated tasks, and the interface through which it reports their starts and ends.
 #pragma once
 
 #include <cstdint>
@@ -32,6 +28,11 @@
                            bool completed, Instant now) = 0;
 };
 
+// A worker that simulates its tasks. It runs the state machine of src/agent, but instead of
+// fetching images and starting processes it only computes the times at which they end. Nothing is
+// stored, so a restarted task runs its whole run time again.
+//
+// No I/O: the caller passes the time and transports the messages. Not thread-safe.
 class SimulatedWorker {
  public:
   struct Options {
--- a/src/load_test/state_server.h
+++ b/src/load_test/state_server.h
@@ -1,5 +1,4 @@
-// Serves the simulated key-value service over HTTP, with latencies, blocking watches and outages.
-// Each controller has its own endpoint, for separate traffic counts and fault injection.
+// The HTTP server of the simulated key-value service.
 #pragma once
 
 #include <cstdint>
@@ -16,6 +15,9 @@
 
 namespace magpie::load_test {
 
+// Serves the simulated key-value service over HTTP, with latencies, blocking watches and outages.
+// Each controller has its own endpoint, for separate traffic counts and fault injection. Once the
+// loop runs, the server is used only on the loop's thread, except for `traffic`.
 class StateServer {
  public:
   struct Options {
@@ -35,7 +37,6 @@
   // Called for each committed transaction.
   using OnCommit = std::function<void(const Transaction&, Instant)>;
 
-  // Once the loop runs, the server is used only on the loop's thread, except for `traffic`.
   StateServer(EventLoop& loop, Options options, OnCommit on_commit);
 
   // Opens an endpoint for one controller. Returns no address if it cannot listen.
--- a/src/load_test/state_service.h
+++ b/src/load_test/state_service.h
@@ -1,6 +1,4 @@
-// The key-value service of PROTOCOL as a state machine: keys with revisions, transactions, leases,
-// the change log that watches read, and the limits. The caller passes the time, which must not
-// decrease. Not thread-safe.
+// The simulated key-value service without its HTTP server, and the results of its functions.
 #pragma once
 
 #include <cstdint>
@@ -17,6 +15,7 @@
 
 namespace magpie::load_test {
 
+// The result of a request to the service, with the HTTP status that represents it.
 enum class StateStatus : std::uint8_t {
   kOk,
   kNotFound,     // 404: no such key or lease
@@ -26,6 +25,8 @@
   kCompacted,    // 410: the requested revision is no longer in the log
 };
 
+// A key with its value, the revision of its last write, and the lease that it is attached to, if
+// any.
 struct StateEntry {
   std::string key;
   Json value;
@@ -33,12 +34,16 @@
   std::optional<LeaseId> lease;
 };
 
+// One page of entries, ordered by key. `more` is set if further entries follow, and `tick` is the
+// latest revision of the service.
 struct StateRange {
   std::vector<StateEntry> entries;
   bool more = false;
   Revision tick;
 };
 
+// The result of a transaction. `tick` is the latest revision of the service after it, also if it
+// was rejected.
 struct StateCommit {
   StateStatus status = StateStatus::kOk;
   Revision tick;
@@ -46,12 +51,17 @@
   const char* error = "";           // the reason of kInvalid or kRateLimited
 };
 
+// Changes read from the change log, oldest first, and the latest revision of the service. `events`
+// is empty if the status is kCompacted.
 struct StateLog {
   StateStatus status = StateStatus::kOk;
   std::vector<WatchEvent> events;
   Revision tick;
 };
 
+// The key-value service of PROTOCOL as a state machine: keys with revisions, transactions, leases,
+// the change log that watches read, and the limits. The caller passes the time, which must not
+// decrease. Not thread-safe.
 class StateService {
  public:
   struct Options {
--- a/src/load_test/users.h
+++ b/src/load_test/users.h
@@ -1,5 +1,4 @@
-// The simulated users of a run. They submit jobs of the configured classes, poll them and cancel
-// some, by the rules of PROTOCOL for users. The class is used on the thread of its loop.
+// The users of a load test and the classes of the jobs that they submit.
 #pragma once
 
 #include <cstdint>
@@ -27,6 +26,8 @@
   double cancel_fraction = 0;      // fraction of the jobs that are cancelled
 };
 
+// The simulated users of a run. They submit jobs of the configured classes, poll them and cancel
+// some, by the rules of PROTOCOL for users. The class is used on the thread of its loop.
 class Users {
  public:
   struct Options {
--- a/src/model/safety_checks.h
+++ b/src/model/safety_checks.h
@@ -1,6 +1,4 @@
-// The checks that the safety argument relies on (docs/design.md, "Why it is safe"). The fault sweep
-// (tests/fault_sweep_test.cc) disables them one at a time and verifies that it then finds a
-// violated rule.
+// The list of safety checks, and the switches with which the fault sweep disables them.
 //
 // Only the fault sweep defines MAGPIE_SAFETY_CHECK_SWITCHES. In the service IsDisabled() is the
 // constant false, and the compiler removes every use.
@@ -12,6 +10,9 @@
 
 namespace magpie {
 
+// The checks that the safety argument relies on (docs/design.md, "Why it is safe"). The fault
+// sweep (tests/fault_sweep_test.cc) disables them one at a time and verifies that it then finds a
+// violated rule.
 enum class SafetyCheck : std::uint8_t {
   kNone,
   // --- conditions of the leader's transactions
--- a/src/scheduling/queued_job.h
+++ b/src/scheduling/queued_job.h
@@ -33,6 +33,8 @@
 
 JobRank RankOf(const Job& job, const QuotaLedger& quotas);
 
+// A job with tasks to place, and the values by which the planner orders it and limits the number
+// of tasks that it starts.
 struct QueuedJob {
   Job* job = nullptr;
   DueTimes due;
