--- a/bench/binding_world.h
+++ b/bench/binding_world.h
@@ -62,9 +62,9 @@
   double p99_start_latency_s = 0;
 };
 
-class ChurnWorld : public load_test::TaskObserver {
+class ChurnSimulation : public load_test::TaskObserver {
  public:
-  explicit ChurnWorld(const ChurnOptions& options);
+  explicit ChurnSimulation(const ChurnOptions& options);
   ChurnResult Run();
 
  private:
