--- a/bench/binding_world.h
+++ b/bench/binding_world.h
@@ -45,7 +45,7 @@
   std::map<std::string, StepCost> steps;
   std::uint64_t tasks_started = 0;
   std::uint64_t tasks_ended = 0;
-  double tasks_running = 0;  // at the end
+  double tasks_running = 0;  // at the end of the run
   std::uint64_t transactions = 0;
   std::uint64_t written_keys = 0;  // put or deleted
   std::uint64_t page_puts = 0;
@@ -53,7 +53,7 @@
   std::uint64_t rewritten_records = 0;  // written unchanged, with their page
   std::uint64_t new_record_bytes = 0;
   std::uint64_t page_bytes = 0;       // written by all page puts
-  std::size_t pages = 0;              // at the end
+  std::size_t pages = 0;              // at the end of the run
   std::uint64_t stored_bytes = 0;     // record pages and job records at the end
   std::size_t jobs = 0;               // active at the end
   std::size_t waiting_machines = 0;   // with undelivered commands at the end
--- a/bench/cluster_builder.h
+++ b/bench/cluster_builder.h
@@ -38,7 +38,7 @@
   // again, while the others send heartbeats. Returns the virtual time taken.
   Seconds RecoverFromLoss();
   void Tick();
-  // Wall time spent in the scheduler by these steps. SubmitJob and AdvanceTime are not counted.
+  // Wall time that the functions above spent in the scheduler, without SubmitJob and AdvanceTime.
   Seconds scheduler_time() const { return scheduler_time_; }
   void ResetSchedulerTime() { scheduler_time_ = {}; }
 
--- a/tests/random_draw.h
+++ b/tests/random_draw.h
@@ -24,7 +24,7 @@
 
  private:
   double NextUnit() { return static_cast<double>(Next() >> 11U) * 0x1.0p-53; }
-  // SplitMix64.
+  // The SplitMix64 generator.
   std::uint64_t Next() {
     state_ += 0x9e3779b97f4a7c15ULL;
     std::uint64_t z = state_;
--- a/tools/bench_report.py
+++ b/tools/bench_report.py
@@ -31,9 +31,9 @@
 def served_share_by_team(log):
     """Returns the share of served jobs of each team, from the leaders' status lines.
 
-    A leader counts from its takeover on, so the last lines of all terms are added up. The newest
-    line gives the open jobs. An open job counts as served once one of its tasks runs, because
-    services do not end.
+    Each leader counts only jobs that end after its takeover, so the last lines of all terms are
+    added up. The newest line gives the open jobs. An open job counts as served once one of its
+    tasks runs, because services do not end.
     """
     newest_lines = []  # the last status line of each leader's term, in order
     for _, line in parse_json_lines(
@@ -91,7 +91,7 @@
 def share_started_in_time(waits):
     """Returns the share of the started jobs that waited at most START_LIMIT_S.
 
-    Interpolates linearly between the given quantiles; None if there are none.
+    Interpolates linearly between the given quantiles; returns None if there are none.
     """
     share, wait = 0.0, 0.0
     has_quantile = False
